--- a/crates/model/src/hash.rs
+++ b/crates/model/src/hash.rs
@@ -1,4 +1,4 @@
-//! Content digests and rendezvous scores.
+//! Content digests, and scores for rendezvous hashing.
 
 use sha2::{Digest, Sha256};
 
@@ -10,10 +10,10 @@
     hex::encode(Sha256::digest(bytes))
 }
 
-/// Scores `candidate` for `key`; the highest score wins the key.
+/// Returns the rendezvous-hashing score of `candidate` for item `index` of `key`.
 ///
-/// Every process computes the same score, so that no agreement is needed,
-/// and adding a candidate moves only the keys which that candidate wins.
+/// The candidate with the highest score is assigned the item. Every process computes the same score, so no coordination is
+/// needed. Adding a candidate moves only the items that are assigned to that candidate.
 pub fn rendezvous_score(key: &str, index: u64, candidate: &str) -> u64 {
     let mut hash = FNV_OFFSET;
     for byte in key.bytes().chain(candidate.bytes()) {
@@ -23,7 +23,7 @@
     mix(hash ^ mix(index))
 }
 
-/// Spreads the bits of `value` (the finalizer of splitmix64).
+/// Mixes the bits of `value` (the finalizer of splitmix64).
 fn mix(value: u64) -> u64 {
     let mut bits = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Typed identifiers.
+//! Identifier types for hosts, workers, jobs, tasks and attempts.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the identifier as text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -40,48 +40,48 @@
 }
 
 text_id!(
-    /// Names one incarnation of an entry host's daemon.
+    /// Identifies one incarnation of an entry host's daemon.
     HostId
 );
 text_id!(
-    /// Names a hall: the machines that share one site and its failures.
+    /// Identifies a hall: the machines of one site, which can fail together.
     HallId
 );
 text_id!(
-    /// Names a rack within a hall.
+    /// Identifies a rack within a hall.
     RackId
 );
 text_id!(
-    /// Names one incarnation of a worker, a machine that runs tasks.
+    /// Identifies one incarnation of a worker, a machine that runs tasks.
     WorkerId
 );
 text_id!(
-    /// Names one incarnation of a backend server.
+    /// Identifies one incarnation of a backend server.
     ServerId
 );
 text_id!(
-    /// Names a declared service (a class of requests) or a standing watch.
+    /// Identifies a service (a class of requests) or a standing watch (a job whose tasks are restarted whenever they end).
     ServiceId
 );
 text_id!(
-    /// Names a team with a quota.
+    /// Identifies a team that has a quota.
     TeamId
 );
 text_id!(
-    /// Names a declared batch job or standing watch.
+    /// Identifies a batch job or a standing watch (a job whose tasks are restarted whenever they end).
     JobId
 );
 text_id!(
-    /// Names a shard: a part of one hall's workers with one owner at a time.
+    /// Identifies a shard: a subset of the workers of one hall, with one owner at a time.
     ShardId
 );
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's position within the job, from 0.
+    /// The task's index within the job, counted from 0.
     pub index: u32,
 }
 
@@ -91,12 +91,12 @@
     }
 }
 
-/// Names one attempt at running a task.
+/// Identifies one attempt at running a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The task that is attempted.
+    /// The task that the attempt runs.
     pub task: TaskId,
-    /// The attempt's number, from 1; a task's later attempt has a higher one.
+    /// The attempt's number, counted from 1. Later attempts at the same task have higher numbers.
     pub number: u32,
 }
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, sizes, verdicts and units shared by every sandshelf package.
+//! Identifiers, resource sizes, run verdicts and unit aliases shared by all sandshelf crates.
 //!
-//! Nothing here does I/O or reads a clock: time is passed in as [`Millis`].
+//! This crate does no I/O and reads no clock: callers pass the time in as [`Millis`].
 //!
 //! ```
 //! use sandshelf_model::{ResourceSize, WorkerId};
--- a/crates/model/src/sizes.rs
+++ b/crates/model/src/sizes.rs
@@ -1,26 +1,26 @@
-//! Sizes of tasks and machines.
+//! Resource sizes of tasks and machines.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Processors, memory and accelerators, of a task or a machine.
+/// The processors, memory and accelerators that a task needs or a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceSize {
-    /// Thousandths of a core.
+    /// Processor capacity in thousandths of a core.
     pub cpu_millis: u64,
-    /// Mebibytes of memory.
+    /// Memory in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     pub accelerators: u64,
 }
 
-/// Says why sizes could not be combined.
+/// The reason why two sizes could not be added or subtracted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeError {
-    /// The sum does not fit the number type.
+    /// The sum of a dimension exceeds `u64::MAX`.
     Overflow,
-    /// More was taken away than there was.
+    /// More was subtracted from a dimension than it holds.
     Underflow,
 }
 
@@ -36,7 +36,7 @@
 impl std::error::Error for SizeError {}
 
 impl ResourceSize {
-    /// Makes a size from thousandths of a core, mebibytes and whole accelerators.
+    /// Creates a size from thousandths of a core, mebibytes of memory and whole accelerators.
     pub const fn new(cpu_millis: u64, memory_mib: u64, accelerators: u64) -> Self {
         Self {
             cpu_millis,
@@ -45,24 +45,24 @@
         }
     }
 
-    /// Says whether this size fits within `room` in every dimension.
+    /// Returns whether this size is at most `room` in every dimension.
     pub fn fits_in(&self, room: &ResourceSize) -> bool {
         self.cpu_millis <= room.cpu_millis
             && self.memory_mib <= room.memory_mib
             && self.accelerators <= room.accelerators
     }
 
-    /// Adds `other`, or says that the sum overflows.
+    /// Adds `other` in each dimension; fails with [`SizeError::Overflow`] if a dimension overflows.
     pub fn plus(&self, other: &ResourceSize) -> Result<ResourceSize, SizeError> {
         self.combine(other, u64::checked_add, SizeError::Overflow)
     }
 
-    /// Takes `other` away, or says that there was less than that.
+    /// Subtracts `other` in each dimension; fails with [`SizeError::Underflow`] if a dimension of `other` is larger.
     pub fn minus(&self, other: &ResourceSize) -> Result<ResourceSize, SizeError> {
         self.combine(other, u64::checked_sub, SizeError::Underflow)
     }
 
-    /// Takes `other` away; a dimension stops at zero.
+    /// Subtracts `other` in each dimension; a result below zero becomes zero.
     pub fn saturating_minus(&self, other: &ResourceSize) -> ResourceSize {
         ResourceSize {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes the larger value in each dimension.
+    /// Returns the larger of the two values in each dimension.
     pub fn max_with(&self, other: &ResourceSize) -> ResourceSize {
         ResourceSize {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
--- a/crates/model/src/units.rs
+++ b/crates/model/src/units.rs
@@ -1,13 +1,13 @@
-//! Type aliases that name the unit of a number.
+//! Type aliases for numbers that have a unit.
 
-/// A point in time or a duration in milliseconds, on the monotonic clock of the process that holds it.
+/// A time or a duration in milliseconds. Times are on the monotonic clock of the process that holds the value.
 pub type Millis = u64;
 
-/// Counts the owners that a shard has had; it only grows.
+/// The number of owners that a shard has had; never decreases.
 pub type Epoch = u64;
 
-/// Counts the durable writes within a shard; it only grows.
+/// The number of durable writes within a shard; never decreases.
 pub type Sequence = u64;
 
-/// Counts the configurations that were accepted; it only grows.
+/// The number of configurations that were accepted; never decreases.
 pub type Revision = u64;
