--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -11,7 +11,7 @@
 use sandshelf_model::{
     HallId, HostId, JobId, Millis, RackId, ResourceSize, ServiceId, ShardId, TeamId, WorkerId,
 };
-use sandshelf_place::{PairSample, PlaceWeights, WorkerEntry};
+use sandshelf_place::{PlaceWeights, SlowdownSample, WorkerEntry};
 
 use crate::scenario::PolicyChoice;
 
@@ -102,7 +102,7 @@
     }
 
     /// Teaches every owner the hidden effects; for the oracle.
-    pub fn teach(&mut self, samples: &[PairSample]) {
+    pub fn teach(&mut self, samples: &[SlowdownSample]) {
         for owner in &mut self.owners {
             for sample in samples {
                 owner.learn(0, sample);
@@ -183,7 +183,7 @@
     }
 
     /// Hands a late measurement to the owner of a worker's shard.
-    pub fn measure(&mut self, now: Millis, worker: &WorkerId, sample: PairSample) {
+    pub fn measure(&mut self, now: Millis, worker: &WorkerId, sample: SlowdownSample) {
         let Some(entry) = self.entries.get(worker) else {
             return;
         };
--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use sandshelf_model::{HallId, HostId, JobId, Millis, ServerId, ServiceId, WorkerId};
-use sandshelf_place::{LatencyWindow, LoadBand, PairSample, SlowdownMeter};
+use sandshelf_place::{LatencyWindow, LoadBand, SlowdownMeter, SlowdownSample};
 use sandshelf_route::{RouteCore, RouteEvent, RouteLimits, ServerEntry};
 
 use crate::control::{entry, BatchSide};
@@ -138,7 +138,7 @@
     servers: Vec<SimServer>,
     requests: HashMap<u64, SimRequest>,
     windows: BTreeMap<WorkerId, LatencyWindow>,
-    late: Vec<(Millis, WorkerId, PairSample)>,
+    late: Vec<(Millis, WorkerId, SlowdownSample)>,
     meter: SlowdownMeter,
     batch: BatchSide,
     result: RunResult,
@@ -361,13 +361,13 @@
 }
 
 /// Measurements that say the hidden effects outright; for the oracle.
-fn oracle_samples() -> Vec<PairSample> {
+fn oracle_samples() -> Vec<SlowdownSample> {
     let mut samples = Vec::new();
     let families = FAMILIES.iter().chain(&["noisy"]);
     for (position, service) in SERVICES.iter().enumerate() {
         for family in families.clone() {
             for band in LoadBand::ALL {
-                let sample = PairSample {
+                let sample = SlowdownSample {
                     service: ServiceId::from(*service),
                     families: vec![((*family).to_owned(), 1)],
                     band,
--- a/crates/bench/src/sim/happenings.rs
+++ b/crates/bench/src/sim/happenings.rs
@@ -2,7 +2,7 @@
 
 use sandshelf_config::UrgencyLevel;
 use sandshelf_model::{JobId, Millis, ServerId, WorkerId};
-use sandshelf_place::{LoadBand, PairSample};
+use sandshelf_place::{LoadBand, SlowdownSample};
 use sandshelf_route::{RouteEvent, SlotView};
 
 use super::{
@@ -165,7 +165,7 @@
             let band = LoadBand::of(window.utilisation(JUDGE_MS, SLOTS));
             let slowdown = self.meter.slowdown(&window, band, families.is_empty());
             let Some(slowdown) = slowdown else { continue };
-            let sample = PairSample {
+            let sample = SlowdownSample {
                 service: window.service.clone(),
                 families,
                 band,
@@ -180,7 +180,7 @@
         let late = std::mem::take(&mut self.late);
         let (due, waiting) = late.into_iter().partition(|(at, _, _)| *at <= now);
         self.late = waiting;
-        let due: Vec<(Millis, WorkerId, PairSample)> = due;
+        let due: Vec<(Millis, WorkerId, SlowdownSample)> = due;
         for (_, worker, sample) in due {
             self.batch.measure(now, &worker, sample);
         }
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -7,7 +7,7 @@
 use sandshelf_model::{
     AttemptId, Epoch, Millis, ResourceSize, Revision, Sequence, ShardId, TaskId, TeamId, WorkerId,
 };
-use sandshelf_place::{PairSample, WorkerEntry};
+use sandshelf_place::{SlowdownSample, WorkerEntry};
 use serde::{Deserialize, Serialize};
 
 use crate::journal::{CommitAnswer, CommitRequest, JournalRecord, TaskHandoff};
@@ -96,7 +96,7 @@
         /// The worker.
         worker: WorkerId,
         /// The measurement.
-        sample: PairSample,
+        sample: SlowdownSample,
     },
     /// Evict an attempt, as a policy of the driver's own asks; one that could not resume or run again is left alone.
     EvictAsked(AttemptId),
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -2,7 +2,7 @@
 
 use sandshelf_model::{AttemptId, Epoch, Millis, ResourceSize, ShardId, TaskId, TeamId, WorkerId};
 use sandshelf_place::{
-    PairSample, PendingKey, PlaceStrategy, PressureStrategy, QuotaLedger, WorkerPool,
+    PendingKey, PlaceStrategy, PressureStrategy, QuotaLedger, SlowdownSample, WorkerPool,
 };
 
 use super::ShardOwner;
@@ -105,7 +105,7 @@
     }
 
     /// Learns a measurement without acting on it; for measurements with what is known beforehand.
-    pub fn learn(&mut self, now: Millis, sample: &PairSample) {
+    pub fn learn(&mut self, now: Millis, sample: &SlowdownSample) {
         self.pool.estimate.learn(sample, now);
     }
 
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -3,7 +3,7 @@
 use sandshelf_config::{JobSpec, UrgencyLevel};
 use sandshelf_model::{AttemptId, Millis, ResourceSize, ShardId, TaskId, WorkerId};
 use sandshelf_place::{
-    PairSample, PendingKey, PlaceChoice, PlaceOutcome, PressureAction, PressureInput, TaskNeed,
+    PendingKey, PlaceChoice, PlaceOutcome, PressureAction, PressureInput, SlowdownSample, TaskNeed,
     WorkerTenant,
 };
 
@@ -396,7 +396,7 @@
     }
 
     /// Learns from a late measurement, and throttles or evicts where the service is hurt.
-    pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &PairSample) {
+    pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &SlowdownSample) {
         self.pool.estimate.learn(sample, now);
         self.pool.set_band(worker, sample.band);
         if !self.lease.is_valid(now) {
--- a/crates/place/src/estimate.rs
+++ b/crates/place/src/estimate.rs
@@ -48,7 +48,7 @@
 
 /// One late measurement of a service on a worker.
 #[derive(Clone, Debug)]
-pub struct PairSample {
+pub struct SlowdownSample {
     /// The service that was measured.
     pub service: ServiceId,
     /// The families that ran beside it at the time that the sample speaks of, with their counts.
@@ -81,14 +81,14 @@
 
 /// Estimates of slowdown for each pair of service and family.
 #[derive(Clone, Debug, Default)]
-pub struct PairEstimate {
+pub struct SlowdownEstimate {
     pairs: HashMap<ServiceId, HashMap<String, [EffectMean; 3]>>,
     families: HashMap<String, [EffectMean; 3]>,
 }
 
-impl PairEstimate {
+impl SlowdownEstimate {
     /// Learns from one measurement; returns false where it is too old to speak of today's load.
-    pub fn learn(&mut self, sample: &PairSample, now: Millis) -> bool {
+    pub fn learn(&mut self, sample: &SlowdownSample, now: Millis) -> bool {
         if now.saturating_sub(sample.stamped_at) > OLDEST_SAMPLE_MS {
             return false;
         }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -23,7 +23,7 @@
 mod quota;
 mod weights;
 
-pub use estimate::{LoadBand, PairEstimate, PairSample};
+pub use estimate::{LoadBand, SlowdownEstimate, SlowdownSample};
 pub use family::{FamilyPrior, FamilySeen};
 pub use meter::{LatencyWindow, SlowdownMeter};
 pub use pool::{
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use sandshelf_model::{AttemptId, HallId, RackId, ResourceSize, ServiceId, WorkerId};
 
-use crate::estimate::{LoadBand, PairEstimate};
+use crate::estimate::{LoadBand, SlowdownEstimate};
 use crate::quarantine::QuarantineBook;
 use crate::weights::PlaceWeights;
 
@@ -194,7 +194,7 @@
     strategy: PlaceStrategy,
     weights: PlaceWeights,
     /// What is learned of interference.
-    pub estimate: PairEstimate,
+    pub estimate: SlowdownEstimate,
     /// Failure runs of the workers.
     pub quarantine: QuarantineBook,
 }
@@ -210,7 +210,7 @@
             source: ChaCha8Rng::seed_from_u64(seed),
             strategy: PlaceStrategy::default(),
             weights,
-            estimate: PairEstimate::default(),
+            estimate: SlowdownEstimate::default(),
             quarantine: QuarantineBook::default(),
         }
     }
--- a/crates/place/src/pressure.rs
+++ b/crates/place/src/pressure.rs
@@ -7,7 +7,7 @@
 
 use sandshelf_model::{AttemptId, Millis, ServiceId, WorkerId};
 
-use crate::estimate::{LoadBand, PairEstimate};
+use crate::estimate::{LoadBand, SlowdownEstimate};
 use crate::pool::WorkerTenant;
 use crate::weights::PlaceWeights;
 
@@ -121,7 +121,7 @@
     pub fn judge(
         &mut self,
         input: &PressureInput<'_>,
-        estimate: &PairEstimate,
+        estimate: &SlowdownEstimate,
         now: Millis,
     ) -> Option<PressureAction> {
         self.refill(now);
@@ -171,7 +171,7 @@
 fn raise(
     pressure: &mut WorkerPressure,
     input: &PressureInput<'_>,
-    estimate: &PairEstimate,
+    estimate: &SlowdownEstimate,
     budget: &mut f64,
 ) -> Option<PressureAction> {
     let effect =
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -4,8 +4,8 @@
 use sandshelf_cases::cases;
 use sandshelf_model::{AttemptId, JobId, ResourceSize, ServiceId, TaskId, TeamId, WorkerId};
 use sandshelf_place::{
-    FamilyPrior, LoadBand, PairEstimate, PairSample, PendingKey, PendingQueue, PlaceOutcome,
-    PlaceWeights, PressureAction, PressureGauge, PressureInput, QuarantineBook, QuotaLedger,
+    FamilyPrior, LoadBand, PendingKey, PendingQueue, PlaceOutcome, PlaceWeights, PressureAction,
+    PressureGauge, PressureInput, QuarantineBook, QuotaLedger, SlowdownEstimate, SlowdownSample,
     TaskNeed, WorkerEntry, WorkerHealth, WorkerPool, WorkerTenant,
 };
 
@@ -96,7 +96,7 @@
 
 /// Pairs that are seen in changing company are told apart.
 fn pairs_are_told_apart() {
-    let mut estimate = PairEstimate::default();
+    let mut estimate = SlowdownEstimate::default();
     let service = ServiceId::from("pricing");
     let truth = [("quiet", 0.02), ("loud", 0.5), ("middling", 0.2)];
     for round in 0..600_u32 {
@@ -110,7 +110,7 @@
             let effect = truth.iter().find(|(known, _)| known == family);
             effect.map_or(0.0, |(_, effect)| effect * f64::from(*count))
         });
-        let sample = PairSample {
+        let sample = SlowdownSample {
             service: service.clone(),
             slowdown: slowdown.sum(),
             families,
@@ -135,8 +135,8 @@
 
 /// A measurement that speaks of long ago teaches nothing.
 fn old_samples_teach_nothing() {
-    let mut estimate = PairEstimate::default();
-    let sample = PairSample {
+    let mut estimate = SlowdownEstimate::default();
+    let sample = SlowdownSample {
         service: ServiceId::from("pricing"),
         families: vec![("loud".to_owned(), 1)],
         band: LoadBand::Peak,
@@ -158,10 +158,10 @@
         evictions: 3.0,
     };
     let mut gauge = PressureGauge::new(weights);
-    let mut estimate = PairEstimate::default();
+    let mut estimate = SlowdownEstimate::default();
     let service = ServiceId::from("pricing");
     for round in 0..20 {
-        let sample = PairSample {
+        let sample = SlowdownSample {
             service: service.clone(),
             families: vec![("loud".to_owned(), 1)],
             band: LoadBand::Peak,
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -4,7 +4,7 @@
 
 use sandshelf_lease::{LeaseStage, ShardEvent, ShardOwner, ShardRoom};
 use sandshelf_model::{Millis, ServiceId, ShardId, WorkerId};
-use sandshelf_place::{LatencyWindow, LoadBand, PairSample};
+use sandshelf_place::{LatencyWindow, LoadBand, SlowdownSample};
 use sandshelf_platform::{HostKind, HostState};
 use sandshelf_route::ServerState;
 
@@ -82,7 +82,7 @@
         let band = LoadBand::of(window.utilisation(JUDGE_EVERY_MS, slots));
         let slowdown = self.meter.slowdown(window, band, families.is_empty());
         let Some(slowdown) = slowdown else { return };
-        let sample = PairSample {
+        let sample = SlowdownSample {
             service: window.service.clone(),
             families: families.into_iter().collect(),
             band,
