--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use sandshelf_model::{Epoch, Millis, WorkerId};
-use sandshelf_place::QuarantineBook;
+use sandshelf_place::QuarantineTracker;
 
 use crate::crash::CrashBook;
 use crate::events::{JobAction, JobEvent, WorkerCall};
@@ -116,7 +116,7 @@
     pub(crate) began_at: Millis,
     pub(crate) foreign: ForeignRuns,
     pub(crate) ended_rooms: EndedRooms,
-    pub(crate) quarantine: QuarantineBook,
+    pub(crate) quarantine: QuarantineTracker,
     pub(crate) crashes: CrashBook,
     pub(crate) images: ImageTable,
     pub(crate) press: PressEstimate,
@@ -200,7 +200,7 @@
                 listed: false,
                 lost_some: false,
             }),
-            quarantine: QuarantineBook::with_rule(QUARANTINE),
+            quarantine: QuarantineTracker::with_rule(QUARANTINE),
             crashes: CrashBook::default(),
             images: ImageTable::default(),
             press: PressEstimate::default(),
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -31,7 +31,7 @@
     WorkerTenant,
 };
 pub use pressure::{PressureAction, PressureGauge, PressureInput, PressureStrategy};
-pub use quarantine::{QuarantineBook, QuarantineRule, WorkerHealth};
+pub use quarantine::{QuarantineRule, QuarantineTracker, WorkerHealth};
 pub use queue::{PendingKey, PendingQueue};
 pub use quota::QuotaLedger;
 pub use weights::PlaceWeights;
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -13,7 +13,7 @@
 use sandshelf_model::{AttemptId, HallId, RackId, ResourceSize, ServiceId, WorkerId};
 
 use crate::estimate::{LoadBand, SlowdownEstimate};
-use crate::quarantine::QuarantineBook;
+use crate::quarantine::QuarantineTracker;
 use crate::weights::PlaceWeights;
 
 /// How many workers one choice draws at random.
@@ -196,7 +196,7 @@
     /// What is learned of interference.
     pub estimate: SlowdownEstimate,
     /// Failure runs of the workers.
-    pub quarantine: QuarantineBook,
+    pub quarantine: QuarantineTracker,
 }
 
 impl WorkerPool {
@@ -211,7 +211,7 @@
             strategy: PlaceStrategy::default(),
             weights,
             estimate: SlowdownEstimate::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTracker::default(),
         }
     }
 
--- a/crates/place/src/quarantine.rs
+++ b/crates/place/src/quarantine.rs
@@ -55,12 +55,12 @@
 
 /// Failure runs of workers.
 #[derive(Clone, Debug, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineTracker {
     rule: QuarantineRule,
     runs: HashMap<WorkerId, FailureRun>,
 }
 
-impl QuarantineBook {
+impl QuarantineTracker {
     /// Starts with limits other than the usual ones.
     pub fn with_rule(rule: QuarantineRule) -> Self {
         Self {
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -5,7 +5,7 @@
 use sandshelf_model::{AttemptId, JobId, ResourceSize, ServiceId, TaskId, TeamId, WorkerId};
 use sandshelf_place::{
     FamilyPrior, LoadBand, PendingKey, PendingQueue, PlaceOutcome, PlaceWeights, PressureAction,
-    PressureGauge, PressureInput, QuarantineBook, QuotaLedger, SlowdownEstimate, SlowdownSample,
+    PressureGauge, PressureInput, QuarantineTracker, QuotaLedger, SlowdownEstimate, SlowdownSample,
     TaskNeed, WorkerEntry, WorkerHealth, WorkerPool, WorkerTenant,
 };
 
@@ -200,7 +200,7 @@
 
 /// Different jobs that fail on a worker close it, the same job does not, and it comes back by a probe.
 fn quarantine_tells_workers_from_tasks() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     let (bad, fine) = (WorkerId::from("bad"), WorkerId::from("fine"));
     for round in 0..10 {
         assert!(!book.note_failure(&fine, &JobId::from("same"), round));
