--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -15,7 +15,7 @@
     AttemptId, HostId, Millis, ResourceSize, Revision, ShardId, TaskId, TeamId, WorkerId,
 };
 use sandshelf_place::{
-    FamilyPrior, PendingKey, PendingQueue, PlaceWeights, PressureGauge, QuotaLedger, WorkerEntry,
+    FamilyHistory, PendingKey, PendingQueue, PlaceWeights, PressureGauge, QuotaLedger, WorkerEntry,
     WorkerPool,
 };
 
@@ -54,7 +54,7 @@
     pub(crate) pool: WorkerPool,
     pub(crate) queue: PendingQueue,
     pub(crate) quotas: QuotaLedger,
-    pub(crate) families: FamilyPrior,
+    pub(crate) families: FamilyHistory,
     pub(crate) gauge: PressureGauge,
     pub(crate) contacts: BTreeMap<WorkerId, WorkerContact>,
     pub(crate) listed: BTreeMap<WorkerId, WorkerEntry>,
@@ -120,7 +120,7 @@
             book: TaskBook::default(),
             queue: PendingQueue::default(),
             quotas: QuotaLedger::default(),
-            families: FamilyPrior::default(),
+            families: FamilyHistory::default(),
             contacts: BTreeMap::new(),
             listed: BTreeMap::new(),
             leaving: BTreeSet::new(),
--- a/crates/place/src/family.rs
+++ b/crates/place/src/family.rs
@@ -9,7 +9,7 @@
 
 /// What one family was seen to use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FamilySeen {
+pub struct FamilyUsage {
     /// The largest use of one task.
     pub peak: ResourceSize,
     /// A running mean of finished run times.
@@ -20,11 +20,11 @@
 
 /// Sizes and run times by family; a declaration is only the prior.
 #[derive(Clone, Debug, Default)]
-pub struct FamilyPrior {
-    seen: HashMap<String, FamilySeen>,
+pub struct FamilyHistory {
+    seen: HashMap<String, FamilyUsage>,
 }
 
-impl FamilyPrior {
+impl FamilyHistory {
     /// Notes the use of one running task.
     pub fn note_usage(&mut self, family: &str, usage: &ResourceSize) {
         let seen = self.seen.entry(family.to_owned()).or_default();
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -24,7 +24,7 @@
 mod weights;
 
 pub use estimate::{LoadBand, SlowdownEstimate, SlowdownSample};
-pub use family::{FamilyPrior, FamilySeen};
+pub use family::{FamilyHistory, FamilyUsage};
 pub use meter::{LatencyWindow, SlowdownMeter};
 pub use pool::{
     PlaceChoice, PlaceOutcome, PlaceStrategy, ReserveError, TaskNeed, WorkerEntry, WorkerPool,
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -4,7 +4,7 @@
 use sandshelf_cases::cases;
 use sandshelf_model::{AttemptId, JobId, ResourceSize, ServiceId, TaskId, TeamId, WorkerId};
 use sandshelf_place::{
-    FamilyPrior, LoadBand, PendingKey, PendingQueue, PlaceOutcome, PlaceWeights, PressureAction,
+    FamilyHistory, LoadBand, PendingKey, PendingQueue, PlaceOutcome, PlaceWeights, PressureAction,
     PressureGauge, PressureInput, QuarantineTracker, QuotaLedger, SlowdownEstimate, SlowdownSample,
     TaskNeed, WorkerEntry, WorkerHealth, WorkerPool, WorkerTenant,
 };
@@ -240,7 +240,7 @@
 
 /// What was seen corrects a declaration upwards only.
 fn prior_is_corrected_upwards() {
-    let mut prior = FamilyPrior::default();
+    let mut prior = FamilyHistory::default();
     let declared = ResourceSize::new(2_000, 4_000, 0);
     prior.note_usage("small", &ResourceSize::new(500, 1_000, 0));
     assert_eq!(prior.reserve_size("small", &declared), declared);
