--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -212,7 +212,7 @@
     pub fn families_on(&self, worker: &WorkerId) -> Vec<(String, u32)> {
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
         for owner in &self.owners {
-            for tenant in owner.pool().tenants(worker) {
+            for tenant in owner.pool().reservations(worker) {
                 *families.entry(tenant.family.clone()).or_default() += 1;
             }
         }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -20,7 +20,7 @@
     TeamId, WorkerId,
 };
 use sandshelf_peer::HostNews;
-use sandshelf_place::{LatencyWindow, PlaceOutcome, TaskNeed, WorkerPool, WorkerTenant};
+use sandshelf_place::{LatencyWindow, PlaceOutcome, TaskNeed, TaskReservation, WorkerPool};
 use sandshelf_platform::commit_transaction;
 use sandshelf_route::{
     AttemptEnd, RequestInfo, RouteAction, RouteCore, RouteEvent, RouteLimits, ServerEntry,
@@ -270,7 +270,7 @@
                 },
                 number: 1,
             };
-            let tenant = WorkerTenant {
+            let tenant = TaskReservation {
                 attempt: attempt.clone(),
                 size: need.size,
                 family: need.family.clone(),
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -7,7 +7,7 @@
 use sandshelf_model::{
     rendezvous_score, AttemptId, JobId, Millis, Revision, ShardId, TaskId, WorkerId,
 };
-use sandshelf_place::{PlaceWeights, WorkerEntry, WorkerTenant};
+use sandshelf_place::{PlaceWeights, TaskReservation, WorkerEntry};
 
 use crate::book::TaskStage;
 use crate::contact::WorkerContact;
@@ -213,7 +213,7 @@
             return;
         };
         contact.leaving = true;
-        let tenants: Vec<WorkerTenant> = self.pool.tenants(worker).to_vec();
+        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
         for tenant in tenants.iter().filter(|tenant| tenant.checkpoint) {
             if contact.confirmed.contains(&tenant.attempt)
                 && !contact.evicting.contains(&tenant.attempt)
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -401,7 +401,7 @@
         for worker in workers {
             let attempts: Vec<AttemptId> = self
                 .pool
-                .tenants(&worker)
+                .reservations(&worker)
                 .iter()
                 .map(|tenant| tenant.attempt.clone())
                 .collect();
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -32,7 +32,7 @@
             let over = self.pool.overfull(worker);
             let ours = self
                 .pool
-                .tenants(worker)
+                .reservations(worker)
                 .iter()
                 .all(|tenant| self.held.contains_key(&tenant.attempt));
             if over && ours && !self.is_shrunk(worker) {
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -4,7 +4,7 @@
 use sandshelf_model::{AttemptId, Millis, ResourceSize, ShardId, TaskId, WorkerId};
 use sandshelf_place::{
     PendingKey, PlaceChoice, PlaceOutcome, PressureAction, PressureInput, SlowdownSample, TaskNeed,
-    WorkerTenant,
+    TaskReservation,
 };
 
 use crate::events::{PlacedReason, ShardRoom, WaitReason};
@@ -402,13 +402,13 @@
         if !self.lease.is_valid(now) {
             return;
         }
-        let tenants: Vec<WorkerTenant> = self.pool.tenants(worker).to_vec();
+        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
         let input = PressureInput {
             worker,
             service: &sample.service,
             slowdown: sample.slowdown,
             band: sample.band,
-            tenants: &tenants,
+            reservations: &tenants,
         };
         let action = self.gauge.judge(&input, &self.pool.estimate, now);
         let Some(contact) = self.contacts.get_mut(worker) else {
@@ -429,8 +429,12 @@
 }
 
 /// Describes an attempt's reservation.
-pub(crate) fn tenant_of(attempt: &AttemptId, spec: &JobSpec, size: ResourceSize) -> WorkerTenant {
-    WorkerTenant {
+pub(crate) fn tenant_of(
+    attempt: &AttemptId,
+    spec: &JobSpec,
+    size: ResourceSize,
+) -> TaskReservation {
+    TaskReservation {
         attempt: attempt.clone(),
         size,
         family: spec.family.clone(),
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -87,7 +87,7 @@
         };
         let services = entry.services.iter().map(|(_, size)| size);
         let mut room = services.fold(entry.capacity, |room, size| room.saturating_minus(size));
-        let tenants = self.pool.tenants(worker).to_vec();
+        let tenants = self.pool.reservations(worker).to_vec();
         let Some(contact) = self.contacts.get_mut(worker) else {
             return;
         };
@@ -154,13 +154,13 @@
         }
         let known = self
             .pool
-            .tenants(worker)
+            .reservations(worker)
             .iter()
             .any(|tenant| &tenant.attempt == attempt);
         if !known {
             self.pool.record(
                 worker,
-                sandshelf_place::WorkerTenant {
+                sandshelf_place::TaskReservation {
                     attempt: attempt.clone(),
                     size: report.size,
                     family: String::new(),
@@ -323,7 +323,7 @@
     fn release_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let stale: Vec<AttemptId> = self
             .pool
-            .tenants(worker)
+            .reservations(worker)
             .iter()
             .map(|tenant| &tenant.attempt)
             .filter(|attempt| {
@@ -380,7 +380,7 @@
 
     /// Whether a placement on this worker waits to be recorded.
     fn is_placing_on(&self, worker: &WorkerId) -> bool {
-        let mut tenants = self.pool.tenants(worker).iter();
+        let mut tenants = self.pool.reservations(worker).iter();
         tenants.any(|tenant| self.placing.contains(&tenant.attempt.task))
     }
 
--- a/crates/lease/tests/support/world/chances.rs
+++ b/crates/lease/tests/support/world/chances.rs
@@ -71,7 +71,7 @@
     /// Has an owner evict one of the attempts that it placed.
     pub fn evict_something(&mut self, host: &HostId, shard: &ShardId) {
         let pool = self.owner(host, shard).pool();
-        let tenants = pool.workers().flat_map(|worker| pool.tenants(worker));
+        let tenants = pool.workers().flat_map(|worker| pool.reservations(worker));
         let mut attempts: Vec<_> = tenants.map(|tenant| tenant.attempt.clone()).collect();
         attempts.sort();
         if attempts.is_empty() {
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -27,8 +27,8 @@
 pub use family::{FamilyHistory, FamilyUsage};
 pub use meter::{LatencyWindow, SlowdownMeter};
 pub use pool::{
-    PlaceChoice, PlaceOutcome, PlaceStrategy, ReserveError, TaskNeed, WorkerEntry, WorkerPool,
-    WorkerTenant,
+    PlaceChoice, PlaceOutcome, PlaceStrategy, ReserveError, TaskNeed, TaskReservation, WorkerEntry,
+    WorkerPool,
 };
 pub use pressure::{PressureAction, PressureGauge, PressureInput, PressureStrategy};
 pub use quarantine::{QuarantineRule, QuarantineTracker, WorkerHealth};
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -77,7 +77,7 @@
 
 /// A reservation on a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkerTenant {
+pub struct TaskReservation {
     /// The attempt that it is for.
     pub attempt: AttemptId,
     /// What is reserved.
@@ -155,7 +155,7 @@
 struct PoolWorker {
     entry: WorkerEntry,
     free: ResourceSize,
-    tenants: Vec<WorkerTenant>,
+    tenants: Vec<TaskReservation>,
     open: bool,
     band: LoadBand,
 }
@@ -329,7 +329,11 @@
     ///
     /// # Errors
     /// The worker is unknown, has no room, or the attempt already holds room there.
-    pub fn reserve(&mut self, worker: &WorkerId, tenant: WorkerTenant) -> Result<(), ReserveError> {
+    pub fn reserve(
+        &mut self,
+        worker: &WorkerId,
+        tenant: TaskReservation,
+    ) -> Result<(), ReserveError> {
         let position = *self
             .positions
             .get(worker)
@@ -351,7 +355,7 @@
     }
 
     /// Records what a worker's own inventory says is there, also where it is more than was planned.
-    pub fn record(&mut self, worker: &WorkerId, tenant: WorkerTenant) {
+    pub fn record(&mut self, worker: &WorkerId, tenant: TaskReservation) {
         let Some(&position) = self.positions.get(worker) else {
             return;
         };
@@ -374,7 +378,7 @@
     }
 
     /// Lists what is reserved on a worker.
-    pub fn tenants(&self, worker: &WorkerId) -> &[WorkerTenant] {
+    pub fn reservations(&self, worker: &WorkerId) -> &[TaskReservation] {
         let position = self.positions.get(worker);
         position.map_or(&[], |&position| &self.workers[position].tenants)
     }
--- a/crates/place/src/pressure.rs
+++ b/crates/place/src/pressure.rs
@@ -8,7 +8,7 @@
 use sandshelf_model::{AttemptId, Millis, ServiceId, WorkerId};
 
 use crate::estimate::{LoadBand, SlowdownEstimate};
-use crate::pool::WorkerTenant;
+use crate::pool::TaskReservation;
 use crate::weights::PlaceWeights;
 
 /// Slowdown that is acted on at a tail weight of 1; heavier weights lower it.
@@ -58,7 +58,7 @@
     /// The load band that the measurement speaks of.
     pub band: LoadBand,
     /// What runs there now.
-    pub tenants: &'a [WorkerTenant],
+    pub reservations: &'a [TaskReservation],
 }
 
 #[derive(Clone, Debug, Default)]
@@ -129,7 +129,7 @@
         let pressure = self.workers.entry(input.worker.clone()).or_default();
         pressure.throttled.retain(|attempt| {
             input
-                .tenants
+                .reservations
                 .iter()
                 .any(|tenant| &tenant.attempt == attempt)
         });
@@ -175,10 +175,10 @@
     budget: &mut f64,
 ) -> Option<PressureAction> {
     let effect =
-        |tenant: &&WorkerTenant| estimate.effect(input.service, &tenant.family, input.band);
+        |tenant: &&TaskReservation| estimate.effect(input.service, &tenant.family, input.band);
     let worst = |evictable: bool| {
         input
-            .tenants
+            .reservations
             .iter()
             .filter(|tenant| !evictable || may_evict(tenant))
             .filter(|tenant| evictable || !pressure.throttled.contains(&tenant.attempt))
@@ -199,7 +199,7 @@
 }
 
 fn newest(input: &PressureInput<'_>) -> Option<PressureAction> {
-    let tenant = input.tenants.last()?;
+    let tenant = input.reservations.last()?;
     let attempt = tenant.attempt.clone();
     Some(PressureAction::Evict { attempt })
 }
@@ -209,6 +209,6 @@
     Some(PressureAction::Unthrottle { attempt })
 }
 
-fn may_evict(tenant: &WorkerTenant) -> bool {
+fn may_evict(tenant: &TaskReservation) -> bool {
     tenant.checkpoint || (tenant.repeatable && tenant.progress_percent < SPARED_PERCENT)
 }
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -6,7 +6,7 @@
 use sandshelf_place::{
     FamilyHistory, LoadBand, PendingKey, PendingQueue, PlaceOutcome, PlaceWeights, PressureAction,
     PressureGauge, PressureInput, QuarantineTracker, QuotaLedger, SlowdownEstimate, SlowdownSample,
-    TaskNeed, WorkerEntry, WorkerHealth, WorkerPool, WorkerTenant,
+    TaskNeed, TaskReservation, WorkerEntry, WorkerHealth, WorkerPool,
 };
 
 fn attempt(index: u32) -> AttemptId {
@@ -19,8 +19,8 @@
     }
 }
 
-fn tenant(index: u32, size: ResourceSize, family: &str) -> WorkerTenant {
-    WorkerTenant {
+fn tenant(index: u32, size: ResourceSize, family: &str) -> TaskReservation {
+    TaskReservation {
         attempt: attempt(index),
         size,
         family: family.to_owned(),
@@ -180,7 +180,7 @@
             service: &service,
             slowdown: 2.0,
             band: LoadBand::Peak,
-            tenants: &tenants,
+            reservations: &tenants,
         };
         actions.extend(gauge.judge(&input, &estimate, second * 1_000));
     }
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -75,7 +75,7 @@
         let Some(owner) = owner else { return };
         let shard = owner.shard().clone();
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
-        for tenant in owner.pool().tenants(&window.worker) {
+        for tenant in owner.pool().reservations(&window.worker) {
             *families.entry(tenant.family.clone()).or_default() += 1;
         }
         let slots = self.config.set().map_or(1, |set| set.backends.slots);
@@ -189,7 +189,7 @@
         free: owner.pool().free(worker).unwrap_or_default(),
         attempts: owner
             .pool()
-            .tenants(worker)
+            .reservations(worker)
             .iter()
             .map(|tenant| tenant.attempt.to_string())
             .collect(),
