--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -29,7 +29,7 @@
     pub fn verify_whole(&self) -> Result<(), String> {
         self.verify()?;
         for worker in self.pool.workers() {
-            let over = self.pool.overfull(worker);
+            let over = self.pool.is_overcommitted(worker);
             let ours = self
                 .pool
                 .reservations(worker)
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -54,7 +54,7 @@
         }
         let mut looks = MOST_LOOKED_AT;
         let mut places = MOST_PLACED;
-        for key in self.queue.turn(&self.quotas) {
+        for key in self.queue.serving_order(&self.quotas) {
             self.place_list(now, &key, &mut looks, &mut places);
         }
     }
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -56,7 +56,7 @@
         for attempt in &report.attempts {
             self.take_attempt(now, worker, attempt);
         }
-        if self.pool.overfull(worker) {
+        if self.pool.is_overcommitted(worker) {
             self.shed_load(worker);
         }
         if report.inventory {
@@ -105,7 +105,7 @@
             return;
         };
         let open = contact.fenced && !contact.leaving && !contact.gone;
-        let open = open && !self.pool.overfull(worker);
+        let open = open && !self.pool.is_overcommitted(worker);
         self.pool.set_open(worker, open);
     }
 
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -175,7 +175,7 @@
         });
     }
 
-    fn overfull(&self) -> bool {
+    fn is_overcommitted(&self) -> bool {
         let services = self.entry.services.iter().map(|(_, size)| size);
         let mut sizes = services.chain(self.tenants.iter().map(|tenant| &tenant.size));
         let held = sizes.try_fold(ResourceSize::default(), |sum, size| sum.plus(size));
@@ -350,7 +350,10 @@
             return Err(ReserveError::NoRoom);
         }
         self.update(position, |worker| worker.tenants.push(tenant));
-        debug_assert!(!self.workers[position].overfull(), "reserved past capacity");
+        debug_assert!(
+            !self.workers[position].is_overcommitted(),
+            "reserved past capacity"
+        );
         Ok(())
     }
 
@@ -405,9 +408,9 @@
     }
 
     /// Says whether a worker's reservations pass its capacity, as when it came back smaller.
-    pub fn overfull(&self, worker: &WorkerId) -> bool {
+    pub fn is_overcommitted(&self, worker: &WorkerId) -> bool {
         let position = self.positions.get(worker);
-        position.is_some_and(|&position| self.workers[position].overfull())
+        position.is_some_and(|&position| self.workers[position].is_overcommitted())
     }
 
     /// Lists every worker.
--- a/crates/place/src/queue.rs
+++ b/crates/place/src/queue.rs
@@ -82,7 +82,7 @@
     ///
     /// Urgent lists come first, but for one turn after eight urgent ones; within an urgency
     /// the team that holds the least of its quota comes first.
-    pub fn turn(&mut self, quotas: &QuotaLedger) -> Vec<PendingKey> {
+    pub fn serving_order(&mut self, quotas: &QuotaLedger) -> Vec<PendingKey> {
         let mut keys: Vec<PendingKey> = self.lists.keys().cloned().collect();
         let normal_first = self.urgent_run >= URGENT_RUN;
         keys.sort_by(|a, b| {
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -71,7 +71,7 @@
                     if let PlaceOutcome::Placed(choice) = pool.choose(&TaskNeed::plain(size, "f"), 1) {
                         let index = index as u32;
                         prop_assert!(pool.reserve(&choice.worker, tenant(index, size, "f")).is_ok());
-                        prop_assert!(!pool.overfull(&choice.worker));
+                        prop_assert!(!pool.is_overcommitted(&choice.worker));
                         placed.push((choice.worker, index));
                     }
                 }
@@ -232,10 +232,10 @@
     queue.insert(&key(false, "a"), &attempt(1).task);
     queue.insert(&key(false, "b"), &attempt(2).task);
     queue.insert(&key(true, "a"), &attempt(3).task);
-    let turn = queue.turn(&quotas);
+    let turn = queue.serving_order(&quotas);
     assert_eq!(turn, vec![key(true, "a"), key(false, "b"), key(false, "a")]);
     (0..8).for_each(|_| queue.note_placed(true));
-    assert!(!queue.turn(&quotas)[0].urgent);
+    assert!(!queue.serving_order(&quotas)[0].urgent);
 }
 
 /// What was seen corrects a declaration upwards only.
