--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -343,7 +343,7 @@
     core.set_strategy(plan.policy.route);
     core.handle(
         1,
-        RouteEvent::ViewHeard {
+        RouteEvent::FirstViewReceived {
             version: 1,
             members: (0..HOSTS).map(host_id).collect(),
         },
--- a/crates/bench/src/sim/happenings.rs
+++ b/crates/bench/src/sim/happenings.rs
@@ -3,7 +3,7 @@
 use sandshelf_config::UrgencyLevel;
 use sandshelf_model::{JobId, Millis, ServerId, WorkerId};
 use sandshelf_place::{LoadBand, SlowdownSample};
-use sandshelf_route::{RouteEvent, SlotView};
+use sandshelf_route::{MembershipView, RouteEvent};
 
 use super::{
     family_of, host_id, server_id, server_number, FleetSim, SimEnd, SimEvent, SimServer, HOSTS,
@@ -118,7 +118,7 @@
         for host in 1..HOSTS {
             let event = RouteEvent::HostsGone(vec![gone.clone()]);
             self.hosts[host].handle(now, event);
-            let view = SlotView {
+            let view = MembershipView {
                 version: 2,
                 members: (1..HOSTS).map(host_id).collect(),
                 earlier: Vec::new(),
@@ -127,7 +127,7 @@
         }
         for teller in 1..HOSTS {
             for host in 1..HOSTS {
-                let event = RouteEvent::ViewReached {
+                let event = RouteEvent::PeerViewReported {
                     host: host_id(teller),
                     version: 2,
                 };
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -299,7 +299,7 @@
     );
     core.handle(
         1,
-        RouteEvent::ViewHeard {
+        RouteEvent::FirstViewReceived {
             version: 1,
             members: vec![host],
         },
--- a/crates/route/src/core.rs
+++ b/crates/route/src/core.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{ServerEntry, ServerFleet, ServerState};
 use crate::queue::{ClassQueue, QueuedRequest};
 use crate::retry::RetryBudget;
-use crate::share::{SlotShare, SlotView};
+use crate::share::{MembershipView, SlotShare};
 
 /// The shortest time after which a refused caller is asked to come back.
 const LEAST_RETRY_AFTER_MS: Millis = 50;
@@ -95,13 +95,13 @@
             RouteEvent::ServersGone(servers) => {
                 servers.iter().for_each(|server| self.fleet.forget(server));
             }
-            RouteEvent::ViewHeard { version, members } => self.take_view(&SlotView {
+            RouteEvent::FirstViewReceived { version, members } => self.take_view(&MembershipView {
                 version,
                 members,
                 earlier: Vec::new(),
             }),
             RouteEvent::ViewRead(view) => self.take_view(&view),
-            RouteEvent::ViewReached { host, version } => {
+            RouteEvent::PeerViewReported { host, version } => {
                 if self.share.note_reached(&host, version) {
                     self.recount_shares();
                 }
@@ -130,7 +130,7 @@
         }
     }
 
-    fn take_view(&mut self, view: &SlotView) {
+    fn take_view(&mut self, view: &MembershipView) {
         self.share.note_view(view);
         self.recount_shares();
     }
--- a/crates/route/src/events.rs
+++ b/crates/route/src/events.rs
@@ -3,7 +3,7 @@
 use sandshelf_model::{HostId, Millis, RunVerdict, ServerId, ServiceId};
 
 use crate::fleet::ServerEntry;
-use crate::share::SlotView;
+use crate::share::MembershipView;
 
 /// Limits of the router.
 #[derive(Clone, Copy, Debug)]
@@ -97,16 +97,16 @@
     /// The platform says that these servers are gone.
     ServersGone(Vec<ServerId>),
     /// A view without earlier ones, as at the first start.
-    ViewHeard {
+    FirstViewReceived {
         /// Its version.
         version: u64,
         /// Its members.
         members: Vec<HostId>,
     },
     /// A view as written in the table.
-    ViewRead(SlotView),
+    ViewRead(MembershipView),
     /// A peer's word on the view that it uses.
-    ViewReached {
+    PeerViewReported {
         /// The peer.
         host: HostId,
         /// Its view's version.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,7 +7,7 @@
 //! use sandshelf_model::{HallId, HostId, ServiceId, ServerId};
 //! use sandshelf_route::{RequestInfo, RouteAction, RouteCore, RouteEvent, RouteLimits, ServerEntry};
 //! let mut core = RouteCore::new(HostId::from("entry-1.1"), HallId::from("north"), RouteLimits::default(), 7);
-//! core.handle(0, RouteEvent::ViewHeard { version: 1, members: vec![HostId::from("entry-1.1")] });
+//! core.handle(0, RouteEvent::FirstViewReceived { version: 1, members: vec![HostId::from("entry-1.1")] });
 //! core.handle(0, RouteEvent::ServersListed(vec![ServerEntry::plain("b-1", "pricing", "north")]));
 //! let request = RequestInfo::plain(1, "pricing", 1_000);
 //! let actions = core.handle(0, RouteEvent::Arrived(request));
@@ -30,4 +30,4 @@
 pub use fleet::{ServerEntry, ServerFleet, ServerLoad, ServerState};
 pub use queue::{ClassQueue, QueuedRequest};
 pub use retry::RetryBudget;
-pub use share::{SlotShare, SlotView};
+pub use share::{MembershipView, SlotShare};
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -12,13 +12,13 @@
 
 /// The entry hosts that share the slots, as of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotView {
+pub struct MembershipView {
     /// Grows with each change.
     pub version: u64,
     /// The hosts, in order.
     pub members: Vec<HostId>,
     /// Earlier views that some host may still be using.
-    pub earlier: Vec<SlotView>,
+    pub earlier: Vec<MembershipView>,
 }
 
 /// One host's knowledge of views and of who has left which behind.
@@ -47,7 +47,7 @@
     }
 
     /// Takes in a view with the earlier ones that it lists; returns whether it is newer.
-    pub fn note_view(&mut self, view: &SlotView) -> bool {
+    pub fn note_view(&mut self, view: &MembershipView) -> bool {
         let newer = view.version > self.version();
         for known in view.earlier.iter().chain([view]) {
             self.views.insert(known.version, known.members.clone());
@@ -103,17 +103,17 @@
     }
 
     /// The view to write when the members change to `members`; keeps the earlier views that may still be used.
-    pub fn next_view(&self, members: Vec<HostId>) -> SlotView {
+    pub fn next_view(&self, members: Vec<HostId>) -> MembershipView {
         let earlier = self
             .views
             .iter()
             .filter(|(&version, members)| self.may_be_used(version, members))
-            .map(|(&version, members)| SlotView {
+            .map(|(&version, members)| MembershipView {
                 version,
                 members: members.clone(),
                 earlier: Vec::new(),
             });
-        SlotView {
+        MembershipView {
             version: self.version() + 1,
             members,
             earlier: earlier.collect(),
--- a/crates/route/tests/shares.rs
+++ b/crates/route/tests/shares.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use sandshelf_cases::cases;
 use sandshelf_model::{HostId, ServerId};
-use sandshelf_route::{SlotShare, SlotView};
+use sandshelf_route::{MembershipView, SlotShare};
 
 const SLOTS: u32 = 8;
 const SERVERS: usize = 6;
@@ -15,7 +15,7 @@
 struct ShareWorld {
     hosts: BTreeMap<HostId, SlotShare>,
     dead: Vec<HostId>,
-    row: SlotView,
+    row: MembershipView,
     source: ChaCha8Rng,
     names: u32,
     seed: u64,
@@ -26,7 +26,7 @@
         Self {
             hosts: BTreeMap::new(),
             dead: Vec::new(),
-            row: SlotView::default(),
+            row: MembershipView::default(),
             source: ChaCha8Rng::seed_from_u64(seed),
             names: 0,
             seed,
@@ -203,7 +203,7 @@
 /// Shares of many servers are near even between hosts.
 fn near_even(hosts: usize) {
     let names: Vec<HostId> = (0..hosts).map(|n| HostId::from(format!("h{n}"))).collect();
-    let view = SlotView {
+    let view = MembershipView {
         version: 1,
         members: names.clone(),
         earlier: Vec::new(),
--- a/crates/route/tests/verdicts.rs
+++ b/crates/route/tests/verdicts.rs
@@ -16,7 +16,7 @@
     let mut core = RouteCore::new(host.clone(), HallId::from("north"), limits, seed);
     core.handle(
         0,
-        RouteEvent::ViewHeard {
+        RouteEvent::FirstViewReceived {
             version: 1,
             members: vec![host],
         },
--- a/crates/sandshelfd/src/control.rs
+++ b/crates/sandshelfd/src/control.rs
@@ -28,7 +28,7 @@
 use sandshelf_peer::{serve_peers, HostNews, PeerHandler};
 use sandshelf_place::{LatencyWindow, SlowdownMeter};
 use sandshelf_platform::{EntryRow, HostList, PlatformClient, ShardMap};
-use sandshelf_route::{RouteEvent, SlotView};
+use sandshelf_route::{MembershipView, RouteEvent};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{self, unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
@@ -92,7 +92,7 @@
     pub(crate) entries: Vec<EntryRow>,
     pub(crate) drains: BTreeSet<String>,
     pub(crate) shards: Option<ShardMap>,
-    pub(crate) view: (u64, SlotView),
+    pub(crate) view: (u64, MembershipView),
 }
 
 /// What comes back to the control thread.
@@ -158,7 +158,7 @@
     members: MemberTable,
     entries: BTreeMap<HostId, EntryRow>,
     drains: BTreeSet<String>,
-    view: (u64, SlotView),
+    view: (u64, MembershipView),
     view_writing: bool,
     keepers: BTreeMap<quota::SliceName, SliceKeeper>,
     entry_written: bool,
@@ -311,7 +311,7 @@
             told_windows: BTreeSet::new(),
             entries: BTreeMap::new(),
             drains: BTreeSet::new(),
-            view: (0, SlotView::default()),
+            view: (0, MembershipView::default()),
             view_writing: false,
             keepers: BTreeMap::new(),
             entry_written: false,
--- a/crates/sandshelfd/src/control/fleet.rs
+++ b/crates/sandshelfd/src/control/fleet.rs
@@ -11,7 +11,7 @@
     EntryRow, HostEntry, HostKind, HostList, HostState, PlatformClient, ReadRange, RowCheck,
     ShardMap, ShardPlace, StoreFault, TableKey, TableTxn,
 };
-use sandshelf_route::{RouteEvent, ServerEntry, ServerState, SlotView};
+use sandshelf_route::{MembershipView, RouteEvent, ServerEntry, ServerState};
 
 use super::{ControlEvent, ControlState, SharedRows};
 use crate::logging::event;
@@ -213,7 +213,7 @@
     }
 
     /// A member of a view that has no entry has stopped as planned, or was found to be gone by another host.
-    fn note_members_without_entry(&mut self, view: &SlotView) {
+    fn note_members_without_entry(&mut self, view: &MembershipView) {
         let views = view.earlier.iter().chain([view]);
         let left: BTreeSet<HostId> = views
             .flat_map(|view| &view.members)
--- a/crates/sandshelfd/src/control/view.rs
+++ b/crates/sandshelfd/src/control/view.rs
@@ -6,7 +6,7 @@
 use sandshelf_peer::HostNews;
 use sandshelf_place::LatencyWindow;
 use sandshelf_platform::{EntryRow, PlatformClient, RowCheck, TableKey, TableTxn};
-use sandshelf_route::{RouteEvent, SlotView};
+use sandshelf_route::{MembershipView, RouteEvent};
 
 use super::{ControlEvent, ControlState, PEERS_AT_A_TIME};
 
@@ -43,7 +43,7 @@
     /// A write of the view with these members, conditional on the view as it was read.
     fn view_transaction(&self, members: Vec<HostId>) -> TableTxn {
         let router = &self.traffic.router;
-        let view: SlotView = router.look(|core| core.share().next_view(members));
+        let view: MembershipView = router.look(|core| core.share().next_view(members));
         let key = TableKey::View.text();
         let token = format!("{}:view:{}", self.entry.host, view.version);
         let text = serde_json::to_string(&view).unwrap_or_default();
@@ -126,7 +126,7 @@
             self.due.rows = 0;
         }
         let router = &self.traffic.router;
-        router.handle(RouteEvent::ViewReached {
+        router.handle(RouteEvent::PeerViewReported {
             host: news.host.clone(),
             version: news.view_version,
         });
