--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -5,7 +5,7 @@
 
 use reqwest::{Client, RequestBuilder, StatusCode};
 use sandshelf_lease::{WorkerOrders, WorkerReport};
-use sandshelf_transfer::{send_call, CallPatience, OpenAnswer, TransferFault};
+use sandshelf_transfer::{send_call, CallTimeout, OpenAnswer, TransferFault};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: Client,
-    patience: CallPatience,
+    patience: CallTimeout,
     base: String,
 }
 
@@ -35,7 +35,7 @@
         let http = Client::builder().no_proxy().build();
         Ok(Self {
             http: http.map_err(|_| StoreFault::NotSent)?,
-            patience: CallPatience::Silence(silence),
+            patience: CallTimeout::Idle(silence),
             base: format!("http://{address}"),
         })
     }
--- a/crates/sandshelf/src/ask.rs
+++ b/crates/sandshelf/src/ask.rs
@@ -5,14 +5,14 @@
 use reqwest::{Client, RequestBuilder};
 use sandshelf_model::Revision;
 use sandshelf_platform::{EntryRow, PlatformClient, ReadRange, TableKey, TableTxn};
-use sandshelf_transfer::{send_call, CallPatience};
+use sandshelf_transfer::{send_call, CallTimeout};
 use serde_json::Value;
 
 use crate::failure::{CommandFailure, FailureKind};
 use crate::files::print_json;
 
 /// How long an entry host may send nothing; the status of one with many workers may take longer than that on a thin link.
-const PATIENCE: CallPatience = CallPatience::Silence(Duration::from_secs(2));
+const PATIENCE: CallTimeout = CallTimeout::Idle(Duration::from_secs(2));
 /// The most bytes of an entry host's answer: it names the tasks of each worker that it owns, some 11; at 2 KB a worker 17,000 of
 /// them take 34 MB.
 const LARGEST_ANSWER_BYTES: usize = 64 * 1024 * 1024;
--- a/crates/sandshelfd/src/jobs/accept.rs
+++ b/crates/sandshelfd/src/jobs/accept.rs
@@ -4,7 +4,7 @@
 
 use rocket::http::Status;
 use sandshelf_adapter::{
-    decode_submission, join_value, pending_body, stage_body, value_range, CallPatience, RowCheck,
+    decode_submission, join_value, pending_body, stage_body, value_range, CallTimeout, RowCheck,
     RowKey, RowWrite, StoreClient, StoreFault, StoredValue, WriteOutcome,
 };
 use sandshelf_jobs::{JobNumber, JobStage, ProgressRow, QueueEntry};
@@ -86,16 +86,16 @@
     /// What the latest calls say of it.
     pub health: &'a StoreHealth,
     /// How long one call to the store may take.
-    pub patience: CallPatience,
+    pub patience: CallTimeout,
 }
 
 /// How long one call to the store may take in all for a caller that waits so long for its answer.
-pub fn patience_for(deadline_ms: Option<Millis>) -> CallPatience {
+pub fn patience_for(deadline_ms: Option<Millis>) -> CallTimeout {
     let part = deadline_ms.map_or(LONGEST_PATIENCE_MS, |deadline| {
         deadline * PATIENCE_PERCENT / 100
     });
     let part = part.clamp(LEAST_PATIENCE_MS, LONGEST_PATIENCE_MS);
-    CallPatience::Whole(Duration::from_millis(part))
+    CallTimeout::Total(Duration::from_millis(part))
 }
 
 impl JobDesk<'_> {
--- a/crates/sandshelfd/src/jobs/intake.rs
+++ b/crates/sandshelfd/src/jobs/intake.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sandshelf_adapter::{
-    decode_worker, CallPatience, FeedPage, RowRange, StoredValue, WorkerFault, WORKERS_TABLE,
+    decode_worker, CallTimeout, FeedPage, RowRange, StoredValue, WorkerFault, WORKERS_TABLE,
 };
 use sandshelf_jobs::{JobEvent, WorkerListing};
 use sandshelf_model::{Millis, WorkerId};
@@ -22,7 +22,7 @@
 /// How long a question for new jobs waits for one.
 const JOBS_WAIT_MS: Millis = 1_000;
 /// How long the store may send nothing.
-const PATIENCE: CallPatience = CallPatience::Silence(Duration::from_millis(700));
+const PATIENCE: CallTimeout = CallTimeout::Idle(Duration::from_millis(700));
 /// The pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// How often the list of workers is read: a worker that leaves must get no new task two seconds after it said so.
--- a/crates/sandshelfd/src/jobs/pages.rs
+++ b/crates/sandshelfd/src/jobs/pages.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use sandshelf_adapter::{CallPatience, RowPage, RowRange, StoreFault, StoredValue};
+use sandshelf_adapter::{CallTimeout, RowPage, RowRange, StoreFault, StoredValue};
 use sandshelf_model::Millis;
 use tokio::time::sleep;
 
@@ -35,14 +35,14 @@
 #[derive(Debug)]
 pub struct PageReads {
     call: StoreCall,
-    patience: CallPatience,
+    patience: CallTimeout,
     last_page: Cell<Millis>,
     failed: Cell<bool>,
 }
 
 impl PageReads {
     /// Starts now.
-    pub fn new(call: StoreCall, patience: CallPatience) -> Self {
+    pub fn new(call: StoreCall, patience: CallTimeout) -> Self {
         Self {
             call,
             patience,
--- a/crates/sandshelfd/src/jobs/queues.rs
+++ b/crates/sandshelfd/src/jobs/queues.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sandshelf_adapter::{
-    decode_queues, CallPatience, FeedPage, RowRange, StoreClient, StoreFault, StoredValue,
+    decode_queues, CallTimeout, FeedPage, RowRange, StoreClient, StoreFault, StoredValue,
     CONFIG_KEY, CONFIG_TABLE,
 };
 use sandshelf_jobs::QueueTable;
@@ -105,9 +105,9 @@
 }
 
 impl ConfigCalls {
-    fn patience(&self) -> CallPatience {
+    fn patience(&self) -> CallTimeout {
         let doublings = self.failures.min(MOST_DOUBLINGS);
-        CallPatience::Silence(Duration::from_millis(PATIENCE_MS << doublings))
+        CallTimeout::Idle(Duration::from_millis(PATIENCE_MS << doublings))
     }
 
     /// Waits for changes; returns how far they are known then, or nothing where they are forgotten.
--- a/crates/sandshelfd/src/jobs/takeover.rs
+++ b/crates/sandshelfd/src/jobs/takeover.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join;
 use futures::{stream, StreamExt};
-use sandshelf_adapter::{join_value, CallPatience, StoredValue};
+use sandshelf_adapter::{join_value, CallTimeout, StoredValue};
 use sandshelf_jobs::{
     JobEvent, JobNumber, JobSpec, ProgressRow, SilentWorkers, StrengthRow, WorkerRoster,
 };
@@ -22,7 +22,7 @@
 use crate::logging::event;
 
 /// How long the store may send nothing of a page of rows.
-const PAGE_PATIENCE: CallPatience = CallPatience::Silence(Duration::from_millis(1_500));
+const PAGE_PATIENCE: CallTimeout = CallTimeout::Idle(Duration::from_millis(1_500));
 /// How many parts of the jobs are read at once.
 const PARTS_AT_ONCE: usize = 8;
 
--- a/crates/sandshelfd/src/jobs/writer.rs
+++ b/crates/sandshelfd/src/jobs/writer.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use sandshelf_adapter::{
-    split_value, CallPatience, RowCheck, RowKey, RowWrite, StoreClient, StoreFault, StoredValue,
+    split_value, CallTimeout, RowCheck, RowKey, RowWrite, StoreClient, StoreFault, StoredValue,
     WriteOutcome,
 };
 use sandshelf_jobs::{CommitBatch, JobNumber};
@@ -26,9 +26,9 @@
 
 /// How long the store may send nothing once an attempt has had the time to get there; a store that answers at all answers
 /// sooner.
-const WRITE_PATIENCE: CallPatience = CallPatience::Silence(Duration::from_millis(900));
+const WRITE_PATIENCE: CallTimeout = CallTimeout::Idle(Duration::from_millis(900));
 /// How long the store may send nothing of the owner's row.
-const READ_PATIENCE: CallPatience = CallPatience::Silence(Duration::from_millis(600));
+const READ_PATIENCE: CallTimeout = CallTimeout::Idle(Duration::from_millis(600));
 /// The pause before a write is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
--- a/crates/transfer/src/call.rs
+++ b/crates/transfer/src/call.rs
@@ -6,7 +6,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::fault::{AnswerProgress, TransferFault};
-use crate::patience::{CallPatience, PieceLimit};
+use crate::timeout::{CallTimeout, PieceLimit};
 
 /// An answer whose head has come.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
 pub async fn send_call(
     request: RequestBuilder,
     wait: Duration,
-    patience: CallPatience,
+    patience: CallTimeout,
 ) -> Result<OpenAnswer, TransferFault> {
     let nothing = AnswerProgress::default();
     let (client, built) = request.build_split();
--- a/crates/transfer/src/lib.rs
+++ b/crates/transfer/src/lib.rs
@@ -7,8 +7,8 @@
 
 mod call;
 mod fault;
-mod patience;
+mod timeout;
 
 pub use call::{send_call, OpenAnswer};
 pub use fault::{AnswerProgress, TransferFault};
-pub use patience::{CallPatience, SLOWEST_UPLOAD_BYTES_PER_S};
+pub use timeout::{CallTimeout, SLOWEST_UPLOAD_BYTES_PER_S};
--- a/crates/transfer/src/patience.rs
+++ b/crates/transfer/src/timeout.rs
@@ -10,11 +10,11 @@
 
 /// How long a call may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallPatience {
+pub enum CallTimeout {
     /// Until the server has sent nothing for so long; an answer may take as long as its size needs on the link.
-    Silence(Duration),
+    Idle(Duration),
     /// So long in all: somebody waits for the result and has no use for it later.
-    Whole(Duration),
+    Total(Duration),
 }
 
 /// The slowest rate at which an answer may come, in bytes a second: a tenth of what the thinnest link of a host in use carries.
@@ -32,22 +32,22 @@
     End(Instant),
 }
 
-impl CallPatience {
+impl CallTimeout {
     /// How long the head of the answer to a request with such a body is waited for, beside what the server was asked to wait.
     pub(crate) fn head_limit(self, body_bytes: usize) -> Duration {
         match self {
-            CallPatience::Silence(silence) => {
+            CallTimeout::Idle(silence) => {
                 silence + transfer_time(body_bytes, SLOWEST_UPLOAD_BYTES_PER_S)
             }
-            CallPatience::Whole(whole) => whole,
+            CallTimeout::Total(whole) => whole,
         }
     }
 
     /// What bounds the wait for pieces of the body, where the head is waited for until `head_until`.
     pub(crate) fn piece_limit(self, head_until: Instant) -> PieceLimit {
         match self {
-            CallPatience::Silence(silence) => PieceLimit::Gap(silence, Instant::now()),
-            CallPatience::Whole(_) => PieceLimit::End(head_until),
+            CallTimeout::Idle(silence) => PieceLimit::Gap(silence, Instant::now()),
+            CallTimeout::Total(_) => PieceLimit::End(head_until),
         }
     }
 }
--- a/crates/transfer/tests/busy_caller.rs
+++ b/crates/transfer/tests/busy_caller.rs
@@ -8,7 +8,7 @@
 
 use reqwest::Client;
 use sandshelf_cases::cases;
-use sandshelf_transfer::{send_call, AnswerProgress, CallPatience, TransferFault};
+use sandshelf_transfer::{send_call, AnswerProgress, CallTimeout, TransferFault};
 use tokio::runtime::Builder;
 use tokio::task::yield_now;
 use tokio::time::{advance, pause};
@@ -62,7 +62,7 @@
     runtime.expect("a runtime").block_on(async {
         pause();
         let client = Client::new();
-        let patience = CallPatience::Silence(SILENCE);
+        let patience = CallTimeout::Idle(SILENCE);
         let call = tokio::spawn(async move {
             let request = client.get(url);
             let answer = send_call(request, Duration::ZERO, patience).await?;
