--- a/crates/transfer/src/fault.rs
+++ b/crates/transfer/src/fault.rs
@@ -1,35 +1,35 @@
-//! Why a call has no whole answer.
+//! Faults of HTTP calls that did not receive a complete answer.
 
 use std::fmt;
 
-/// How far an answer had come.
+/// How much of an answer was received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerProgress {
-    /// Whether its head had come.
+    /// Whether the status line and headers were received.
     pub begun: bool,
-    /// How many bytes of its body had come.
+    /// Number of body bytes received.
     pub bytes: u64,
 }
 
-/// Why a call has no whole answer.
+/// The reason why a call did not receive a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferFault {
-    /// The server can't be reached: nothing was sent.
+    /// The connection to the server failed: nothing was sent.
     Unreachable,
-    /// No connection came about in time: nothing was sent.
+    /// The connection was not established in time: nothing was sent.
     ConnectTimeout,
-    /// The server sent nothing for as long as the call's patience lasts.
+    /// The server sent no further data within the call's timeout.
     Silent(AnswerProgress),
-    /// The server was sending when the time of the whole call was over.
+    /// The server was still sending when the time for the call or the answer ran out.
     Late(AnswerProgress),
-    /// The answer is larger than any that is taken.
+    /// The answer's body is larger than the caller accepts.
     TooLarge(AnswerProgress),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection broke, or the received data is not valid HTTP.
     Broken(AnswerProgress),
 }
 
 impl TransferFault {
-    /// Whether nothing was sent, so that the call has certainly not run.
+    /// Returns whether nothing was sent, so that the server has certainly not executed the call.
     pub fn is_unsent(self) -> bool {
         matches!(
             self,
@@ -37,7 +37,7 @@
         )
     }
 
-    /// How far the answer had come.
+    /// Returns how much of the answer was received.
     pub fn progress(self) -> AnswerProgress {
         match self {
             TransferFault::Unreachable | TransferFault::ConnectTimeout => AnswerProgress::default(),
@@ -61,15 +61,19 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             TransferFault::Unreachable => "the server can't be reached",
-            TransferFault::ConnectTimeout => "no connection came about in time",
-            TransferFault::Silent(_) => "the server fell silent",
-            TransferFault::Late(_) => "the answer did not come whole in time",
+            TransferFault::ConnectTimeout => "the connection was not established in time",
+            TransferFault::Silent(_) => "the server sent no further data within the time limit",
+            TransferFault::Late(_) => "the answer was not complete in time",
             TransferFault::TooLarge(_) => "the answer is too large",
-            TransferFault::Broken(_) => "the answer broke off",
+            TransferFault::Broken(_) => "the connection broke or the answer is not valid HTTP",
         })?;
         let progress = self.progress();
         if progress.begun {
-            write!(formatter, "; {} bytes of it had come", progress.bytes)?;
+            write!(
+                formatter,
+                "; {} bytes of the answer were received",
+                progress.bytes
+            )?;
         }
         Ok(())
     }
--- a/crates/transfer/src/lib.rs
+++ b/crates/transfer/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP calls whose time limits bound a server's silence, not the length of a transfer.
+//! HTTP calls with an idle timeout (time without data from the server) instead of a limit on the whole transfer.
 //!
-//! How long a transfer takes depends on its size and on the link. A limit on the whole of it that is shorter cuts it each time it
-//! is tried, and each try begins from nothing: over 10 Mbit/s a configuration of 3,000 queues (0.85 MB) needs 0.7 s and never came
-//! with a limit of 0.5 s. [`send_call`] gives a call up when the server has sent nothing for as long as its patience lasts, and
-//! tells how far the answer had come.
+//! How long a transfer takes depends on its size and on the link. A total timeout shorter than that aborts every attempt, and
+//! each retry starts from the first byte: over 10 Mbit/s a configuration of 3,000 queues (0.85 MB) needs 0.7 s and never arrived
+//! with a timeout of 0.5 s. [`send_call`] aborts a call when the server has sent nothing for the idle timeout, and its fault
+//! reports how much of the answer was received.
 
 mod call;
 mod fault;
--- a/crates/transfer/src/timeout.rs
+++ b/crates/transfer/src/timeout.rs
@@ -1,67 +1,67 @@
-//! How long a call may take.
+//! Timeouts of a call, and the deadlines that follow from them.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The slowest rate at which a request's body is expected to get through, in bytes a second: the thinnest link of a host in use
-/// carries 2 Mbit/s. How much of a body has got through can't be seen from here, so that its time is allowed for beforehand.
+/// The lowest rate at which a request's body is expected to be sent, in bytes per second: the slowest link of a host in use
+/// carries 2 Mbit/s. The caller can't see how much of the body has been sent, so this time is added to the timeout in advance.
 pub const SLOWEST_UPLOAD_BYTES_PER_S: u64 = 250_000;
 
-/// How long a call may take.
+/// The timeout of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallTimeout {
-    /// Until the server has sent nothing for so long; an answer may take as long as its size needs on the link.
+    /// The longest time without data from the server. A complete answer may take longer, depending on its size and the link.
     Idle(Duration),
-    /// So long in all: somebody waits for the result and has no use for it later.
+    /// The longest time for the whole call, used where the result is of no use to the waiting caller later.
     Total(Duration),
 }
 
-/// The slowest rate at which an answer may come, in bytes a second: a tenth of what the thinnest link of a host in use carries.
-/// A server that sends a byte from time to time would keep a call for ever.
+/// The lowest accepted rate of an answer's body, in bytes per second: a tenth of what the slowest link of a host in use carries.
+/// Without it, a server that sends a byte from time to time would keep a call open for ever.
 pub const SLOWEST_ANSWER_BYTES_PER_S: u64 = 25_000;
-/// By how many times its patience an answer may take longer than that rate allows.
-const LATENESS_FACTOR: u32 = 4;
+/// How many times its idle timeout an answer may take in addition to its time at [`SLOWEST_ANSWER_BYTES_PER_S`].
+const ANSWER_SLACK_FACTOR: u32 = 4;
 
-/// What bounds the wait for the next piece of an answer.
+/// The limit on the wait for the next chunk of an answer's body.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum PieceLimit {
-    /// The time since the piece before, and for all that has come a time that grows with it, from this moment on.
-    Gap(Duration, Instant),
-    /// The end of the whole call.
-    End(Instant),
+pub(crate) enum ChunkLimit {
+    /// The longest time between two chunks, and the time at which the body started. The total time is limited as well, by an
+    /// amount that grows with the bytes received.
+    Idle(Duration, Instant),
+    /// The deadline of the whole call.
+    Deadline(Instant),
 }
 
 impl CallTimeout {
-    /// How long the head of the answer to a request with such a body is waited for, beside what the server was asked to wait.
-    pub(crate) fn head_limit(self, body_bytes: usize) -> Duration {
+    /// Returns how long to wait for the head of the answer to a request with a body of `body_bytes`. The time that the server was
+    /// asked to wait before it answers comes on top.
+    pub(crate) fn head_timeout(self, body_bytes: usize) -> Duration {
         match self {
-            CallTimeout::Idle(silence) => {
-                silence + transfer_time(body_bytes, SLOWEST_UPLOAD_BYTES_PER_S)
-            }
-            CallTimeout::Total(whole) => whole,
+            CallTimeout::Idle(idle) => idle + transfer_time(body_bytes, SLOWEST_UPLOAD_BYTES_PER_S),
+            CallTimeout::Total(total) => total,
         }
     }
 
-    /// What bounds the wait for pieces of the body, where the head is waited for until `head_until`.
-    pub(crate) fn piece_limit(self, head_until: Instant) -> PieceLimit {
+    /// Returns the limit on the wait for chunks of the body; `head_deadline` is the deadline that applied to the head.
+    pub(crate) fn chunk_limit(self, head_deadline: Instant) -> ChunkLimit {
         match self {
-            CallTimeout::Idle(silence) => PieceLimit::Gap(silence, Instant::now()),
-            CallTimeout::Total(_) => PieceLimit::End(head_until),
+            CallTimeout::Idle(idle) => ChunkLimit::Idle(idle, Instant::now()),
+            CallTimeout::Total(_) => ChunkLimit::Deadline(head_deadline),
         }
     }
 }
 
-impl PieceLimit {
-    /// Until when a piece is waited for from now on, where so many bytes have come.
-    pub(crate) fn until(self, bytes: usize) -> Instant {
+impl ChunkLimit {
+    /// Returns the deadline of the next chunk, for a wait that starts now, after `bytes` bytes of the body were received.
+    pub(crate) fn next_deadline(self, bytes: usize) -> Instant {
         match self {
-            PieceLimit::Gap(gap, begun) => {
+            ChunkLimit::Idle(gap, started) => {
                 let needed = transfer_time(bytes, SLOWEST_ANSWER_BYTES_PER_S);
-                let slowest = begun + gap * LATENESS_FACTOR + needed;
+                let slowest = started + gap * ANSWER_SLACK_FACTOR + needed;
                 slowest.min(Instant::now() + gap)
             }
-            PieceLimit::End(end) => end,
+            ChunkLimit::Deadline(deadline) => deadline,
         }
     }
 }
