--- a/crates/place/src/estimate.rs
+++ b/crates/place/src/estimate.rs
@@ -1,40 +1,40 @@
-//! Learns which job families slow which services, by load band.
+//! Learns by how much tasks of each job family slow down each service, by load band.
 //!
-//! A measurement is of one service on one worker while several families ran beside it. The model is additive:
-//! predicted slowdown = sum of the pairs' effects. Each measurement moves every pair present by a share of the error,
-//! so that pairs are told apart once they have been seen in different company.
+//! Each sample is of one service on one worker while tasks of several families ran on the same worker. The model is additive:
+//! predicted slowdown = sum of the effects of the (service, family) pairs. Each sample corrects every pair present by a share
+//! of the prediction error, so the effects of the pairs can be separated once they were measured in different combinations.
 
 use std::collections::HashMap;
 
 use sandshelf_model::{Millis, ServiceId};
 
-/// The share of the error that a well-known pair takes up from one measurement.
-const LEAST_STEP: f64 = 0.05;
-/// The largest effect that is believed: ten times as slow.
-const LARGEST_EFFECT: f64 = 9.0;
-/// Measurements older than this, by their own stamp, are not learned from.
-const OLDEST_SAMPLE_MS: Millis = 600_000;
-/// By how much an effect is taken to grow from one band to the next busier one, until it was seen there.
-const BAND_FACTOR: f64 = 2.0;
-/// How many measurements a pair needs before its own mean replaces the fallback.
-const TRUST_COUNT: f64 = 4.0;
-
-/// How loaded a service is, as a band.
+/// Lower bound on the learning rate: the fraction of the error that a pair with many samples is corrected by.
+const MIN_LEARNING_RATE: f64 = 0.05;
+/// Upper bound on a learned effect: slowdown minus one, so 9 means ten times as slow.
+const MAX_EFFECT: f64 = 9.0;
+/// Samples older than this, by their own time stamp, are ignored.
+const MAX_SAMPLE_AGE_MS: Millis = 600_000;
+/// Assumed growth of an effect from one load band to the next busier one, until it was measured there.
+const BAND_GROWTH_FACTOR: f64 = 2.0;
+/// Number of samples after which a pair's own mean fully replaces the fallback.
+const FULL_TRUST_SAMPLES: f64 = 4.0;
+
+/// The load of a service, as a range of its utilisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum LoadBand {
-    /// Under a third of its slots in use.
+    /// Less than a third of its slots are in use.
     Quiet,
-    /// Up to two thirds of its slots in use.
+    /// From one third to less than two thirds of its slots are in use.
     Busy,
-    /// More than two thirds of its slots in use.
+    /// Two thirds of its slots or more are in use.
     Peak,
 }
 
 impl LoadBand {
-    /// Every band, from quiet to peak.
+    /// All bands, from the least to the most loaded.
     pub const ALL: [LoadBand; 3] = [LoadBand::Quiet, LoadBand::Busy, LoadBand::Peak];
 
-    /// Returns the band of a utilisation from 0 to 1.
+    /// Returns the band of a utilisation between 0 and 1.
     pub fn of(utilisation: f64) -> Self {
         if utilisation < 1.0 / 3.0 {
             LoadBand::Quiet
@@ -46,18 +46,18 @@
     }
 }
 
-/// One late measurement of a service on a worker.
+/// One measured slowdown of a service on a worker; it arrives with a delay.
 #[derive(Clone, Debug)]
 pub struct SlowdownSample {
     /// The service that was measured.
     pub service: ServiceId,
-    /// The families that ran beside it at the time that the sample speaks of, with their counts.
+    /// The job families whose tasks ran on the same worker at the time of the measurement, with the number of tasks of each.
     pub families: Vec<(String, u32)>,
-    /// The load band at that time.
+    /// The service's load band at the time of the measurement.
     pub band: LoadBand,
-    /// Measured latency over the service's latency alone at that band, minus one.
+    /// Measured latency divided by the service's latency alone in that band, minus one.
     pub slowdown: f64,
-    /// The time that the sample speaks of, not of its arrival.
+    /// The time of the measurement, not of its arrival.
     pub stamped_at: Millis,
 }
 
@@ -69,17 +69,17 @@
 
 impl EffectMean {
     fn trust(&self) -> f64 {
-        (self.count / TRUST_COUNT).min(1.0)
+        (self.count / FULL_TRUST_SAMPLES).min(1.0)
     }
 
     fn learn(&mut self, error: f64) {
-        let step = (1.0 / (self.count + 1.0)).max(LEAST_STEP);
-        self.effect = (self.effect + step * error).clamp(0.0, LARGEST_EFFECT);
+        let step = (1.0 / (self.count + 1.0)).max(MIN_LEARNING_RATE);
+        self.effect = (self.effect + step * error).clamp(0.0, MAX_EFFECT);
         self.count += 1.0;
     }
 }
 
-/// Estimates of slowdown for each pair of service and family.
+/// Estimated slowdown for each pair of service and job family.
 #[derive(Clone, Debug, Default)]
 pub struct SlowdownEstimate {
     pairs: HashMap<ServiceId, HashMap<String, [EffectMean; 3]>>,
@@ -87,9 +87,9 @@
 }
 
 impl SlowdownEstimate {
-    /// Learns from one measurement; returns false where it is too old to speak of today's load.
+    /// Updates the estimate with one sample; returns false if the sample is too old to describe the current load and was ignored.
     pub fn learn(&mut self, sample: &SlowdownSample, now: Millis) -> bool {
-        if now.saturating_sub(sample.stamped_at) > OLDEST_SAMPLE_MS {
+        if now.saturating_sub(sample.stamped_at) > MAX_SAMPLE_AGE_MS {
             return false;
         }
         let predicted = self.predict(&sample.service, &sample.families, sample.band);
@@ -106,11 +106,11 @@
     }
 
     fn learn_pair(&mut self, service: &ServiceId, family: &str, band: usize, error: f64) {
-        let believed = self.effect(service, family, LoadBand::ALL[band]);
+        let estimated = self.effect(service, family, LoadBand::ALL[band]);
         let pairs = self.pairs.entry(service.clone()).or_default();
         let pair = &mut pairs.entry(family.to_owned()).or_default()[band];
         if pair.count == 0.0 {
-            pair.effect = believed;
+            pair.effect = estimated;
         }
         pair.learn(error);
         let effect = pair.effect;
@@ -121,22 +121,22 @@
 
     fn family_effect(&self, family: &str, band: usize) -> f64 {
         let bands = self.families.get(family);
-        bands.map_or(0.0, |bands| believe(bands, band, 0.0))
+        bands.map_or(0.0, |bands| blend_bands(bands, band, 0.0))
     }
 
-    /// Predicts the effect of one task of `family` on `service`.
+    /// Predicts the effect of one task of `family` on `service`: its slowdown minus one, 0 if the family was never measured.
     ///
-    /// A pair that was not seen in a band is taken to do there what it did in the nearest band that it was seen in, more
-    /// in a busier one and less in a quieter one; a pair that was never seen does what its family does elsewhere.
+    /// A pair that was not measured in a band is extrapolated from the nearest band in which it was: higher in a busier band,
+    /// lower in a quieter one. A pair that was never measured gets the mean effect of its family on other services.
     pub fn effect(&self, service: &ServiceId, family: &str, band: LoadBand) -> f64 {
         let band = band as usize;
         let fallback = self.family_effect(family, band);
         let pairs = self.pairs.get(service);
         let bands = pairs.and_then(|pairs| pairs.get(family));
-        bands.map_or(fallback, |bands| believe(bands, band, fallback))
+        bands.map_or(fallback, |bands| blend_bands(bands, band, fallback))
     }
 
-    /// Predicts the slowdown of `service` beside `families`.
+    /// Predicts the slowdown minus one of `service` on a worker that also runs `families`, given with their numbers of tasks.
     pub fn predict(&self, service: &ServiceId, families: &[(String, u32)], band: LoadBand) -> f64 {
         families
             .iter()
@@ -145,8 +145,8 @@
     }
 }
 
-/// What three bands' means say of one band; bands that were seen little count little.
-fn believe(bands: &[EffectMean; 3], band: usize, fallback: f64) -> f64 {
+/// Estimates the effect in one band from the means of all three bands, weighted by trust: a mean of few samples counts less.
+fn blend_bands(bands: &[EffectMean; 3], band: usize, fallback: f64) -> f64 {
     let own = &bands[band];
     let others = (0..bands.len()).filter(|other| *other != band);
     let nearest = others
@@ -155,9 +155,9 @@
     let base = match nearest {
         Some(other) => {
             let steps = band as i32 - other as i32;
-            let carried = bands[other].effect * BAND_FACTOR.powi(steps);
+            let extrapolated = bands[other].effect * BAND_GROWTH_FACTOR.powi(steps);
             let trust = bands[other].trust();
-            carried * trust + fallback * (1.0 - trust)
+            extrapolated * trust + fallback * (1.0 - trust)
         }
         None => fallback,
     };
--- a/crates/place/src/family.rs
+++ b/crates/place/src/family.rs
@@ -1,71 +1,72 @@
-//! Corrects declared sizes by what a job's family was seen to use.
+//! Corrects declared task sizes and run times by what earlier tasks of the same job family used.
 
 use std::collections::HashMap;
 
 use sandshelf_model::{Millis, ResourceSize};
 
-/// Room kept above what was seen, in percent.
-const SEEN_MARGIN_PERCENT: u64 = 15;
+/// Margin that is reserved above the observed peak use, in percent.
+const PEAK_MARGIN_PERCENT: u64 = 15;
 
-/// What one family was seen to use.
+/// The observed resource use and run times of one family's tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FamilyUsage {
-    /// The largest use of one task.
+    /// The largest observed use of one task, in each dimension.
     pub peak: ResourceSize,
-    /// A running mean of finished run times.
+    /// Running mean of the run times of finished tasks, in milliseconds.
     pub run_ms: Millis,
-    /// How many tasks finished.
+    /// Number of tasks that finished.
     pub finished: u64,
 }
 
-/// Sizes and run times by family; a declaration is only the prior.
+/// Observed sizes and run times by family; a declared size or run time is used until observations replace or exceed it.
 #[derive(Clone, Debug, Default)]
 pub struct FamilyHistory {
-    seen: HashMap<String, FamilyUsage>,
+    usages: HashMap<String, FamilyUsage>,
 }
 
 impl FamilyHistory {
-    /// Notes the use of one running task.
+    /// Records the resource use of one running task.
     pub fn note_usage(&mut self, family: &str, usage: &ResourceSize) {
-        let seen = self.seen.entry(family.to_owned()).or_default();
-        seen.peak = seen.peak.max_with(usage);
+        let observed = self.usages.entry(family.to_owned()).or_default();
+        observed.peak = observed.peak.max_with(usage);
     }
 
-    /// Notes the run time of one finished task.
+    /// Records the run time of one finished task, in milliseconds.
     pub fn note_finish(&mut self, family: &str, run_ms: Millis) {
-        let seen = self.seen.entry(family.to_owned()).or_default();
-        seen.finished += 1;
-        let step = seen.finished.min(16) as i128;
-        let error = i128::from(run_ms) - i128::from(seen.run_ms);
-        seen.run_ms = (i128::from(seen.run_ms) + error / step) as Millis;
+        let observed = self.usages.entry(family.to_owned()).or_default();
+        observed.finished += 1;
+        let step = observed.finished.min(16) as i128;
+        let error = i128::from(run_ms) - i128::from(observed.run_ms);
+        observed.run_ms = (i128::from(observed.run_ms) + error / step) as Millis;
     }
 
-    /// What to reserve for a task: its declaration, or where more than that was seen, what was seen with a margin.
+    /// Returns the size to reserve for a task: its declared size, or in dimensions where a larger peak was observed, that peak
+    /// plus a margin (no margin for accelerators).
     ///
-    /// Never less than the declaration, however little was seen: a task may yet use what it asked for.
+    /// The result is never below the declared size, however low the observed use: a task may still use what it declared.
     pub fn reserve_size(&self, family: &str, declared: &ResourceSize) -> ResourceSize {
-        let Some(seen) = self.seen.get(family) else {
+        let Some(observed) = self.usages.get(family) else {
             return *declared;
         };
         ResourceSize {
-            cpu_millis: correct(declared.cpu_millis, seen.peak.cpu_millis),
-            memory_mib: correct(declared.memory_mib, seen.peak.memory_mib),
-            accelerators: declared.accelerators.max(seen.peak.accelerators),
+            cpu_millis: correct(declared.cpu_millis, observed.peak.cpu_millis),
+            memory_mib: correct(declared.memory_mib, observed.peak.memory_mib),
+            accelerators: declared.accelerators.max(observed.peak.accelerators),
         }
     }
 
-    /// What a task of `family` is expected to run for.
+    /// Returns the expected run time of a task of `family`, in milliseconds; `declared` until a task of the family has finished.
     pub fn run_time(&self, family: &str, declared: Millis) -> Millis {
-        match self.seen.get(family) {
-            Some(seen) if seen.finished > 0 => seen.run_ms,
+        match self.usages.get(family) {
+            Some(observed) if observed.finished > 0 => observed.run_ms,
             _ => declared,
         }
     }
 }
 
-fn correct(declared: u64, seen: u64) -> u64 {
-    if seen <= declared {
+fn correct(declared: u64, peak: u64) -> u64 {
+    if peak <= declared {
         return declared;
     }
-    seen.saturating_add(seen / 100 * SEEN_MARGIN_PERCENT)
+    peak.saturating_add(peak / 100 * PEAK_MARGIN_PERCENT)
 }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,6 +1,6 @@
-//! Placement, interference estimates, quotas and quarantine as a sans-I/O library.
+//! Task placement, interference estimates, quotas and worker quarantine, without I/O.
 //!
-//! Time and the random source are passed in; nothing here opens a socket or reads a clock.
+//! Callers pass in the time and the random seed; this crate opens no socket and reads no clock.
 //!
 //! ```
 //! use sandshelf_model::{ResourceSize, WorkerId};
--- a/crates/place/src/meter.rs
+++ b/crates/place/src/meter.rs
@@ -1,4 +1,4 @@
-//! Turns late latencies into slowdowns over a service running alone.
+//! Converts measured latencies into slowdowns, relative to a service that runs alone on its worker.
 
 use std::collections::HashMap;
 
@@ -6,40 +6,41 @@
 
 use crate::estimate::LoadBand;
 
-/// The weight of the newest window in the running mean of a service alone.
-const ALONE_STEP: f64 = 0.1;
-/// How fast the lowest latency seen gives way where a service never runs alone, for each window.
-const FLOOR_DRIFT: f64 = 1.002;
-/// The fewest answers from which a window is judged.
-const FEWEST_ANSWERS: u32 = 5;
+/// Weight of the newest window in the running mean of a service's latency alone.
+const ALONE_MEAN_WEIGHT: f64 = 0.1;
+/// Factor by which the lowest observed latency is raised with each window. That latency is the baseline for a service that was
+/// never measured alone, and the drift lets an outdated minimum expire.
+const FLOOR_DRIFT_PER_WINDOW: f64 = 1.002;
+/// Windows with fewer answers than this are ignored.
+const MIN_ANSWERS: u32 = 5;
 
-/// Answers of one service on one worker within some time.
+/// Latencies of one service's answers on one worker within a time window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LatencyWindow {
-    /// The service.
+    /// The service that answered.
     pub service: ServiceId,
-    /// The worker.
+    /// The worker that it ran on.
     pub worker: WorkerId,
-    /// How many answers.
+    /// Number of answers.
     pub count: u32,
-    /// Their latencies added up, in milliseconds.
+    /// Sum of the answers' latencies in milliseconds.
     pub total_ms: u64,
 }
 
 impl LatencyWindow {
-    /// The part of `slots` that was in use over `window_ms`.
+    /// Returns the mean fraction of `slots` that was in use during a window of `window_ms` milliseconds.
     pub fn utilisation(&self, window_ms: Millis, slots: u32) -> f64 {
-        let room = (window_ms * u64::from(slots)).max(1);
-        self.total_ms as f64 / room as f64
+        let slot_ms = (window_ms * u64::from(slots)).max(1);
+        self.total_ms as f64 / slot_ms as f64
     }
 
-    /// The mean latency in milliseconds.
+    /// Returns the mean latency in milliseconds; 0 if the window has no answers.
     pub fn mean_ms(&self) -> f64 {
         self.total_ms as f64 / f64::from(self.count.max(1))
     }
 }
 
-/// What each service takes alone, by load band.
+/// Baseline latencies of each service by load band, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct SlowdownMeter {
     alone: HashMap<(ServiceId, LoadBand), f64>,
@@ -47,26 +48,28 @@
 }
 
 impl SlowdownMeter {
-    /// Judges a window; none where it says too little.
+    /// Returns the slowdown minus one that a window shows, never below 0; `None` if the window has too few answers.
+    ///
+    /// `is_alone` tells whether the service ran alone on the worker; only such windows update its latency alone.
     pub fn slowdown(
         &mut self,
         window: &LatencyWindow,
         band: LoadBand,
         is_alone: bool,
     ) -> Option<f64> {
-        if window.count < FEWEST_ANSWERS {
+        if window.count < MIN_ANSWERS {
             return None;
         }
         let mean = window.mean_ms().max(0.1);
         let key = (window.service.clone(), band);
         let lowest = self.lowest.entry(key.clone()).or_insert(mean);
-        *lowest = (*lowest * FLOOR_DRIFT).min(mean);
+        *lowest = (*lowest * FLOOR_DRIFT_PER_WINDOW).min(mean);
         let floor = *lowest;
         if is_alone {
             let alone = self.alone.entry(key.clone()).or_insert(mean);
-            *alone += ALONE_STEP * (mean - *alone);
+            *alone += ALONE_MEAN_WEIGHT * (mean - *alone);
         }
-        let base = self.alone.get(&key).copied().unwrap_or(floor);
-        Some((mean / base.max(0.1) - 1.0).max(0.0))
+        let baseline = self.alone.get(&key).copied().unwrap_or(floor);
+        Some((mean / baseline.max(0.1) - 1.0).max(0.0))
     }
 }
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -1,7 +1,7 @@
-//! The workers of a shard: what each holds, what is reserved on it, and the choice of one for a task.
+//! The workers of a shard with their capacities and reservations, and the choice of a worker for a task.
 //!
-//! A choice looks at a few workers whatever their number: some drawn at random, and some found
-//! through an index by free processors where none of those has room.
+//! The cost of a choice does not grow with the number of workers. It considers a random sample of them. If none of these can
+//! take the task, it considers workers from an index by free processor capacity, those with the most first.
 
 mod choose;
 
@@ -16,32 +16,32 @@
 use crate::quarantine::QuarantineTracker;
 use crate::weights::PlaceWeights;
 
-/// How many workers one choice draws at random.
-const DRAWN_WORKERS: usize = 12;
-/// How many workers one choice takes from the index by free processors.
+/// Number of workers that one choice samples at random.
+const SAMPLED_WORKERS: usize = 12;
+/// Maximum number of workers that one choice takes from the index by free processor capacity.
 const INDEXED_WORKERS: usize = 12;
-/// How many index entries may be looked at for each worker taken.
-const INDEX_LOOKS: usize = 4;
-/// How much a worker's leftover room counts against the predicted slowdown.
-const LEFTOVER_SCALE: f64 = 0.15;
+/// Number of index entries that may be scanned for each worker that is to be taken from the index.
+const INDEX_SCANS_PER_WORKER: usize = 4;
+/// Weight of a worker's leftover capacity relative to the predicted slowdown.
+const LEFTOVER_WEIGHT: f64 = 0.15;
 
-/// One worker as the platform describes it.
+/// One worker as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
-    /// The worker's incarnation.
+    /// The identifier of the worker's incarnation.
     pub worker: WorkerId,
-    /// Its hall.
+    /// The hall that it is in.
     pub hall: HallId,
-    /// Its rack.
+    /// The rack that it is in.
     pub rack: RackId,
-    /// All that it has.
+    /// Total capacity, including what its services use.
     pub capacity: ResourceSize,
-    /// The services that stand on it, with what each holds.
+    /// The services that run on it, with the resources that each of them holds.
     pub services: Vec<(ServiceId, ResourceSize)>,
 }
 
 impl WorkerEntry {
-    /// Describes a worker without services, in a hall and a rack named `any`.
+    /// Creates an entry for a worker without services, in a hall and a rack named `any`.
     pub fn plain(name: &str, capacity: ResourceSize) -> Self {
         Self {
             worker: WorkerId::from(name),
@@ -53,19 +53,19 @@
     }
 }
 
-/// What is asked for a task.
+/// The placement requirements of a task.
 #[derive(Clone, Debug)]
 pub struct TaskNeed {
-    /// What to reserve.
+    /// The resources to reserve.
     pub size: ResourceSize,
-    /// The job's family.
+    /// The family of the task's job, which determines the predicted slowdown.
     pub family: String,
-    /// A worker to keep away from, such as the one that the task last failed on.
+    /// A worker that must not be chosen, such as the one on which the task failed last.
     pub avoid: Option<WorkerId>,
 }
 
 impl TaskNeed {
-    /// Asks for a size, for a family, anywhere.
+    /// Creates requirements of a size and a family that allow any worker.
     pub fn plain(size: ResourceSize, family: &str) -> Self {
         Self {
             size,
@@ -75,67 +75,67 @@
     }
 }
 
-/// A reservation on a worker.
+/// The resources reserved on a worker for one attempt at a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskReservation {
-    /// The attempt that it is for.
+    /// The attempt that the resources are reserved for.
     pub attempt: AttemptId,
-    /// What is reserved.
+    /// The reserved resources.
     pub size: ResourceSize,
-    /// The job's family.
+    /// The family of the attempt's job.
     pub family: String,
-    /// Whether it can be checkpointed.
+    /// Whether the attempt can be checkpointed.
     pub checkpoint: bool,
-    /// Whether it may be run again from the start.
+    /// Whether the task may be run again from the start.
     pub repeatable: bool,
-    /// How far it is, in percent of its expected run time.
+    /// Progress of the attempt, in percent of its expected run time.
     pub progress_percent: u32,
 }
 
-/// How a worker is chosen; the others are baselines that measurements compare with.
+/// The policy for choosing a worker. The policies other than `Weighed` are baselines for benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlaceStrategy {
-    /// Weigh predicted slowdown against leftover room.
+    /// Minimise a weighted sum of predicted slowdown and leftover capacity.
     #[default]
     Weighed,
-    /// The first worker with room, by name.
+    /// Choose the first worker by name that has enough free capacity.
     FirstFit,
-    /// The worker with the least leftover room.
+    /// Choose the worker with the least free capacity that suffices.
     BestFit,
 }
 
-/// A chosen worker and why.
+/// A chosen worker and the reasons for the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlaceChoice {
-    /// The worker.
+    /// The chosen worker.
     pub worker: WorkerId,
-    /// The cost of the choice by the operator's weights; lower is better.
+    /// The cost of the choice by the operator's weights; lower is better, 0 for the baseline strategies.
     pub cost: f64,
-    /// The slowdown predicted for the services there, minus one.
+    /// The sum of the slowdowns minus one that are predicted for the services on the worker; 0 for the baseline strategies.
     pub predicted: f64,
-    /// How many workers were looked at.
+    /// Number of workers that were considered.
     pub looked_at: usize,
 }
 
-/// What came of a choice.
+/// The result of a choice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlaceOutcome {
     /// A worker was chosen.
     Placed(PlaceChoice),
-    /// No open worker has room now.
+    /// No worker can take the task now. Some known worker is large enough when empty, or the pool has no workers.
     NoRoom,
-    /// No known worker could ever hold the task.
+    /// No known worker is large enough for the task, even when empty.
     NeverFits,
 }
 
-/// Says why a reservation was refused.
+/// The reason why a reservation was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveError {
-    /// The worker isn't in the pool.
+    /// The worker is not in the pool.
     UnknownWorker,
-    /// The worker has no room for it.
+    /// The worker's free capacity is too small.
     NoRoom,
-    /// The attempt already has a reservation there.
+    /// The attempt already has a reservation on the worker.
     AlreadyHeld,
 }
 
@@ -143,8 +143,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             ReserveError::UnknownWorker => "the worker is not in the pool",
-            ReserveError::NoRoom => "the worker has no room",
-            ReserveError::AlreadyHeld => "the attempt already holds room there",
+            ReserveError::NoRoom => "the worker does not have enough free capacity",
+            ReserveError::AlreadyHeld => "the attempt already has a reservation on the worker",
         })
     }
 }
@@ -155,7 +155,7 @@
 struct PoolWorker {
     entry: WorkerEntry,
     free: ResourceSize,
-    tenants: Vec<TaskReservation>,
+    reservations: Vec<TaskReservation>,
     open: bool,
     band: LoadBand,
 }
@@ -167,9 +167,13 @@
             && need.avoid.as_ref() != Some(&self.entry.worker)
     }
 
-    fn recount(&mut self) {
+    fn recompute_free(&mut self) {
         let services = self.entry.services.iter().map(|(_, size)| size);
-        let held = services.chain(self.tenants.iter().map(|tenant| &tenant.size));
+        let held = services.chain(
+            self.reservations
+                .iter()
+                .map(|reservation| &reservation.size),
+        );
         self.free = held.fold(self.entry.capacity, |free, size| {
             free.saturating_minus(size)
         });
@@ -177,7 +181,11 @@
 
     fn is_overcommitted(&self) -> bool {
         let services = self.entry.services.iter().map(|(_, size)| size);
-        let mut sizes = services.chain(self.tenants.iter().map(|tenant| &tenant.size));
+        let mut sizes = services.chain(
+            self.reservations
+                .iter()
+                .map(|reservation| &reservation.size),
+        );
         let held = sizes.try_fold(ResourceSize::default(), |sum, size| sum.plus(size));
         held.map_or(true, |held| !held.fits_in(&self.entry.capacity))
     }
@@ -188,26 +196,26 @@
 pub struct WorkerPool {
     workers: Vec<PoolWorker>,
     positions: HashMap<WorkerId, usize>,
-    by_free: BTreeSet<(u64, WorkerId)>,
+    by_free_cpu: BTreeSet<(u64, WorkerId)>,
     shapes: BTreeMap<RoomShape, usize>,
-    source: ChaCha8Rng,
+    rng: ChaCha8Rng,
     strategy: PlaceStrategy,
     weights: PlaceWeights,
-    /// What is learned of interference.
+    /// Learned slowdowns of services by task families.
     pub estimate: SlowdownEstimate,
-    /// Failure runs of the workers.
+    /// Failure streaks and quarantines of the workers.
     pub quarantine: QuarantineTracker,
 }
 
 impl WorkerPool {
-    /// Makes an empty pool; equal seeds give equal choices.
+    /// Creates an empty pool. `seed` seeds the random samples: pools with equal seeds and equal calls make equal choices.
     pub fn new(seed: u64, weights: PlaceWeights) -> Self {
         Self {
             workers: Vec::new(),
             positions: HashMap::new(),
-            by_free: BTreeSet::new(),
+            by_free_cpu: BTreeSet::new(),
             shapes: BTreeMap::new(),
-            source: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             strategy: PlaceStrategy::default(),
             weights,
             estimate: SlowdownEstimate::default(),
@@ -215,27 +223,27 @@
         }
     }
 
-    /// Changes the strategy.
+    /// Sets the strategy.
     pub fn set_strategy(&mut self, strategy: PlaceStrategy) {
         self.strategy = strategy;
     }
 
-    /// Changes the weights.
+    /// Sets the operator's weights.
     pub fn set_weights(&mut self, weights: PlaceWeights) {
         self.weights = weights;
     }
 
-    /// How many workers there are.
+    /// Returns the number of workers.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the pool has no workers.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// Adds a worker, closed, or takes over what the platform now says of it.
+    /// Adds a worker, closed for placement, or updates the entry of a known one.
     pub fn upsert(&mut self, entry: &WorkerEntry) {
         match self.positions.get(&entry.worker) {
             Some(&position) => self.update(position, |worker| worker.entry = entry.clone()),
@@ -247,44 +255,45 @@
         let mut worker = PoolWorker {
             entry: entry.clone(),
             free: entry.capacity,
-            tenants: Vec::new(),
+            reservations: Vec::new(),
             open: false,
             band: LoadBand::Quiet,
         };
-        worker.recount();
+        worker.recompute_free();
         self.positions
             .insert(entry.worker.clone(), self.workers.len());
-        self.by_free
+        self.by_free_cpu
             .insert((worker.free.cpu_millis, entry.worker.clone()));
-        self.count_shape(entry);
+        self.add_entry_shape(entry);
         self.workers.push(worker);
     }
 
-    /// Changes one worker and keeps the indexes in step.
+    /// Changes one worker and updates its free capacity and the indexes.
     fn update(&mut self, position: usize, change: impl FnOnce(&mut PoolWorker)) {
         let worker = &mut self.workers[position];
         let name = worker.entry.worker.clone();
         let shape_before = RoomShape::of(&worker.entry);
-        self.by_free.remove(&(worker.free.cpu_millis, name.clone()));
+        self.by_free_cpu
+            .remove(&(worker.free.cpu_millis, name.clone()));
         change(worker);
-        worker.recount();
-        self.by_free.insert((worker.free.cpu_millis, name));
+        worker.recompute_free();
+        self.by_free_cpu.insert((worker.free.cpu_millis, name));
         let shape_after = RoomShape::of(&worker.entry);
         if shape_before != shape_after {
-            self.drop_shape(&shape_before);
+            self.remove_shape(&shape_before);
             *self.shapes.entry(shape_after).or_default() += 1;
         }
     }
 
-    fn count_shape(&mut self, entry: &WorkerEntry) {
+    fn add_entry_shape(&mut self, entry: &WorkerEntry) {
         *self.shapes.entry(RoomShape::of(entry)).or_default() += 1;
     }
 
-    fn discount_shape(&mut self, entry: &WorkerEntry) {
-        self.drop_shape(&RoomShape::of(entry));
+    fn remove_entry_shape(&mut self, entry: &WorkerEntry) {
+        self.remove_shape(&RoomShape::of(entry));
     }
 
-    fn drop_shape(&mut self, shape: &RoomShape) {
+    fn remove_shape(&mut self, shape: &RoomShape) {
         if let Some(count) = self.shapes.get_mut(shape) {
             *count -= 1;
             if *count == 0 {
@@ -293,46 +302,48 @@
         }
     }
 
-    /// Takes a worker out; returns the attempts that held room there.
+    /// Removes a worker; returns the attempts that had reservations on it.
     pub fn remove(&mut self, worker: &WorkerId) -> Vec<AttemptId> {
         let Some(position) = self.positions.remove(worker) else {
             return Vec::new();
         };
-        let gone = self.workers.swap_remove(position);
-        self.by_free.remove(&(gone.free.cpu_millis, worker.clone()));
-        self.discount_shape(&gone.entry);
+        let removed = self.workers.swap_remove(position);
+        self.by_free_cpu
+            .remove(&(removed.free.cpu_millis, worker.clone()));
+        self.remove_entry_shape(&removed.entry);
         if let Some(moved) = self.workers.get(position) {
             self.positions.insert(moved.entry.worker.clone(), position);
         }
         self.quarantine.forget(worker);
-        gone.tenants
+        removed
+            .reservations
             .into_iter()
-            .map(|tenant| tenant.attempt)
+            .map(|reservation| reservation.attempt)
             .collect()
     }
 
-    /// Lets a worker be chosen, or not.
+    /// Opens a worker for placement or closes it; no effect if the worker is unknown.
     pub fn set_open(&mut self, worker: &WorkerId, open: bool) {
         if let Some(&position) = self.positions.get(worker) {
             self.workers[position].open = open;
         }
     }
 
-    /// Notes how loaded a worker's services are.
+    /// Records the load band of a worker's services; no effect if the worker is unknown.
     pub fn set_band(&mut self, worker: &WorkerId, band: LoadBand) {
         if let Some(&position) = self.positions.get(worker) {
             self.workers[position].band = band;
         }
     }
 
-    /// Reserves room; the sum never passes the worker's capacity.
+    /// Reserves resources on a worker; refused where the reservations would exceed the worker's capacity.
     ///
     /// # Errors
-    /// The worker is unknown, has no room, or the attempt already holds room there.
+    /// Fails if the worker is unknown or has too little free capacity, or if the attempt already has a reservation on it.
     pub fn reserve(
         &mut self,
         worker: &WorkerId,
-        tenant: TaskReservation,
+        reservation: TaskReservation,
     ) -> Result<(), ReserveError> {
         let position = *self
             .positions
@@ -340,65 +351,69 @@
             .ok_or(ReserveError::UnknownWorker)?;
         let slot = &self.workers[position];
         if slot
-            .tenants
+            .reservations
             .iter()
-            .any(|held| held.attempt == tenant.attempt)
+            .any(|held| held.attempt == reservation.attempt)
         {
             return Err(ReserveError::AlreadyHeld);
         }
-        if !tenant.size.fits_in(&slot.free) {
+        if !reservation.size.fits_in(&slot.free) {
             return Err(ReserveError::NoRoom);
         }
-        self.update(position, |worker| worker.tenants.push(tenant));
+        self.update(position, |worker| worker.reservations.push(reservation));
         debug_assert!(
             !self.workers[position].is_overcommitted(),
-            "reserved past capacity"
+            "reservations exceed the capacity"
         );
         Ok(())
     }
 
-    /// Records what a worker's own inventory says is there, also where it is more than was planned.
-    pub fn record(&mut self, worker: &WorkerId, tenant: TaskReservation) {
+    /// Records an attempt that a worker's own inventory reports, replacing an earlier reservation of the same attempt.
+    ///
+    /// It is recorded even if the reservations then exceed the worker's capacity. No effect if the worker is unknown.
+    pub fn record(&mut self, worker: &WorkerId, reservation: TaskReservation) {
         let Some(&position) = self.positions.get(worker) else {
             return;
         };
         self.update(position, |worker| {
-            worker.tenants.retain(|held| held.attempt != tenant.attempt);
-            worker.tenants.push(tenant);
+            worker
+                .reservations
+                .retain(|held| held.attempt != reservation.attempt);
+            worker.reservations.push(reservation);
         });
     }
 
-    /// Gives an attempt's room back; returns whether it held any.
+    /// Releases an attempt's reservation on a worker; returns whether there was one.
     pub fn release(&mut self, worker: &WorkerId, attempt: &AttemptId) -> bool {
         let Some(&position) = self.positions.get(worker) else {
             return false;
         };
-        let before = self.workers[position].tenants.len();
+        let before = self.workers[position].reservations.len();
         self.update(position, |worker| {
-            worker.tenants.retain(|held| &held.attempt != attempt);
+            worker.reservations.retain(|held| &held.attempt != attempt);
         });
-        self.workers[position].tenants.len() < before
+        self.workers[position].reservations.len() < before
     }
 
-    /// Lists what is reserved on a worker.
+    /// Returns the reservations on a worker; empty if the worker is unknown.
     pub fn reservations(&self, worker: &WorkerId) -> &[TaskReservation] {
         let position = self.positions.get(worker);
-        position.map_or(&[], |&position| &self.workers[position].tenants)
+        position.map_or(&[], |&position| &self.workers[position].reservations)
     }
 
-    /// Returns what the platform says of a worker.
+    /// Returns a worker's entry as listed by the platform; `None` if the worker is unknown.
     pub fn entry(&self, worker: &WorkerId) -> Option<&WorkerEntry> {
         let position = self.positions.get(worker)?;
         Some(&self.workers[*position].entry)
     }
 
-    /// Returns what is free on a worker.
+    /// Returns the free capacity of a worker; `None` if the worker is unknown.
     pub fn free(&self, worker: &WorkerId) -> Option<ResourceSize> {
         let position = self.positions.get(worker)?;
         Some(self.workers[*position].free)
     }
 
-    /// Returns what a worker has for tasks when none runs there.
+    /// Returns a worker's capacity minus what its services hold; zero if the worker is unknown.
     pub fn room_when_empty(&self, worker: &WorkerId) -> ResourceSize {
         let Some(entry) = self.entry(worker) else {
             return ResourceSize::default();
@@ -407,18 +422,18 @@
         services.fold(entry.capacity, |room, size| room.saturating_minus(size))
     }
 
-    /// Says whether a worker's reservations pass its capacity, as when it came back smaller.
+    /// Returns whether a worker's services and reservations exceed its capacity, as when it was listed again with a smaller one.
     pub fn is_overcommitted(&self, worker: &WorkerId) -> bool {
         let position = self.positions.get(worker);
         position.is_some_and(|&position| self.workers[position].is_overcommitted())
     }
 
-    /// Lists every worker.
+    /// Returns the identifiers of all workers, in no particular order.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.workers.iter().map(|worker| &worker.entry.worker)
     }
 
-    /// Says whether some known worker is large enough when empty; an empty pool never says no.
+    /// Returns whether some known worker is large enough for `size` when it runs no tasks; true if the pool is empty.
     pub fn could_ever_hold(&self, size: &ResourceSize) -> bool {
         if self.workers.is_empty() {
             return true;
@@ -431,7 +446,8 @@
     }
 }
 
-/// What a worker has left for tasks when no task runs there; a fleet has only a few shapes.
+/// A worker's capacity minus what its services hold. Workers with equal values are counted together, since a fleet has only a
+/// few different ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RoomShape {
     cpu_millis: u64,
--- a/crates/place/src/pool/choose.rs
+++ b/crates/place/src/pool/choose.rs
@@ -1,25 +1,25 @@
-//! Which worker a task is placed on.
+//! The choice of the worker that a task is placed on.
 
 use rand::RngExt;
 use sandshelf_model::{Millis, WorkerId};
 
 use super::{
-    PlaceChoice, PlaceOutcome, PlaceStrategy, PoolWorker, TaskNeed, WorkerPool, DRAWN_WORKERS,
-    INDEXED_WORKERS, INDEX_LOOKS, LEFTOVER_SCALE,
+    PlaceChoice, PlaceOutcome, PlaceStrategy, PoolWorker, TaskNeed, WorkerPool, INDEXED_WORKERS,
+    INDEX_SCANS_PER_WORKER, LEFTOVER_WEIGHT, SAMPLED_WORKERS,
 };
 use crate::quarantine::WorkerHealth;
 
 impl WorkerPool {
-    /// Chooses a worker for a task.
+    /// Chooses a worker for a task by the pool's strategy; reserves nothing.
     pub fn choose(&mut self, need: &TaskNeed, now: Millis) -> PlaceOutcome {
         match self.strategy {
-            PlaceStrategy::FirstFit | PlaceStrategy::BestFit => self.choose_scanning(need),
+            PlaceStrategy::FirstFit | PlaceStrategy::BestFit => self.choose_by_scan(need),
             PlaceStrategy::Weighed => self.choose_weighed(need, now),
         }
     }
 
-    /// The baselines look at every worker: the first by name, or the one with least room.
-    fn choose_scanning(&self, need: &TaskNeed) -> PlaceOutcome {
+    /// Chooses by a baseline strategy, which scans all workers: the first by name, or the one with the least free capacity.
+    fn choose_by_scan(&self, need: &TaskNeed) -> PlaceOutcome {
         let fitting = self.workers.iter().filter(|worker| worker.has_room(need));
         let chosen = match self.strategy {
             PlaceStrategy::FirstFit => fitting.min_by(|a, b| a.entry.worker.cmp(&b.entry.worker)),
@@ -34,12 +34,12 @@
                 predicted: 0.0,
                 looked_at: self.workers.len(),
             }),
-            None => self.without_room(need),
+            None => self.no_room_outcome(need),
         }
     }
 
     fn choose_weighed(&mut self, need: &TaskNeed, now: Millis) -> PlaceOutcome {
-        let mut candidates = self.draw_candidates(need, now);
+        let mut candidates = self.sample_candidates(need, now);
         if candidates.is_empty() {
             candidates = self.index_candidates(need, now);
         }
@@ -54,17 +54,17 @@
                 predicted: self.predict(position, need),
                 looked_at: candidates.len(),
             }),
-            None => self.without_room(need),
+            None => self.no_room_outcome(need),
         }
     }
 
-    fn draw_candidates(&mut self, need: &TaskNeed, now: Millis) -> Vec<usize> {
-        let mut candidates = Vec::with_capacity(DRAWN_WORKERS);
+    fn sample_candidates(&mut self, need: &TaskNeed, now: Millis) -> Vec<usize> {
+        let mut candidates = Vec::with_capacity(SAMPLED_WORKERS);
         if self.workers.is_empty() {
             return candidates;
         }
-        for _ in 0..DRAWN_WORKERS {
-            let position = self.source.random_range(0..self.workers.len());
+        for _ in 0..SAMPLED_WORKERS {
+            let position = self.rng.random_range(0..self.workers.len());
             if self.is_candidate(position, need, now) && !candidates.contains(&position) {
                 candidates.push(position);
             }
@@ -73,11 +73,11 @@
     }
 
     fn index_candidates(&self, need: &TaskNeed, now: Millis) -> Vec<usize> {
-        let least = (need.size.cpu_millis, WorkerId::from(""));
-        self.by_free
-            .range(least..)
+        let smallest_fit = (need.size.cpu_millis, WorkerId::from(""));
+        self.by_free_cpu
+            .range(smallest_fit..)
             .rev()
-            .take(INDEXED_WORKERS * INDEX_LOOKS)
+            .take(INDEXED_WORKERS * INDEX_SCANS_PER_WORKER)
             .map(|(_, worker)| self.positions[worker])
             .filter(|&position| self.is_candidate(position, need, now))
             .take(INDEXED_WORKERS)
@@ -86,13 +86,13 @@
 
     fn is_candidate(&self, position: usize, need: &TaskNeed, now: Millis) -> bool {
         let worker = &self.workers[position];
-        worker.has_room(need) && self.is_trusted(worker, now)
+        worker.has_room(need) && self.passes_quarantine(worker, now)
     }
 
-    fn is_trusted(&self, worker: &PoolWorker, now: Millis) -> bool {
+    fn passes_quarantine(&self, worker: &PoolWorker, now: Millis) -> bool {
         match self.quarantine.health(&worker.entry.worker, now) {
             WorkerHealth::Healthy => true,
-            WorkerHealth::Probation => worker.tenants.is_empty(),
+            WorkerHealth::Probation => worker.reservations.is_empty(),
             WorkerHealth::Quarantined { .. } => false,
         }
     }
@@ -105,18 +105,18 @@
             .sum()
     }
 
-    /// The cost of placing a task on a worker; lower is better.
+    /// Returns the cost of placing a task on a worker: weighted predicted slowdown plus weighted leftover capacity. Lower is better.
     fn score(&self, position: usize, need: &TaskNeed) -> f64 {
         let worker = &self.workers[position];
-        let hurt = self.weights.tail * self.predict(position, need);
+        let interference_cost = self.weights.tail * self.predict(position, need);
         let free = worker.free.saturating_minus(&need.size);
-        let part = |left: u64, all: u64| left as f64 / all.max(1) as f64;
-        let leftover = part(free.cpu_millis, worker.entry.capacity.cpu_millis)
-            + part(free.memory_mib, worker.entry.capacity.memory_mib);
-        hurt + self.weights.throughput * LEFTOVER_SCALE * leftover
+        let fraction = |left: u64, total: u64| left as f64 / total.max(1) as f64;
+        let leftover = fraction(free.cpu_millis, worker.entry.capacity.cpu_millis)
+            + fraction(free.memory_mib, worker.entry.capacity.memory_mib);
+        interference_cost + self.weights.throughput * LEFTOVER_WEIGHT * leftover
     }
 
-    fn without_room(&self, need: &TaskNeed) -> PlaceOutcome {
+    fn no_room_outcome(&self, need: &TaskNeed) -> PlaceOutcome {
         if self.could_ever_hold(&need.size) {
             PlaceOutcome::NoRoom
         } else {
--- a/crates/place/src/quarantine.rs
+++ b/crates/place/src/quarantine.rs
@@ -1,22 +1,22 @@
-//! Tells bad workers apart from bad tasks.
+//! Quarantines workers on which tasks of several jobs fail, to tell faulty workers apart from faulty tasks.
 //!
-//! A worker on which several different jobs fail in a row is closed and let back by one probe at a time.
-//! A failure on a worker that is later closed is not held against the task.
+//! A worker on which several different jobs fail in a row gets no tasks for a while, and then one task at a time as a probe.
+//! A failure on a worker that is quarantined later is not counted against the task.
 
 use std::collections::{BTreeSet, HashMap};
 
 use sandshelf_model::{JobId, Millis, WorkerId};
 
-/// The limits of quarantine.
+/// The thresholds and durations of quarantine.
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantineRule {
-    /// Failures in a row that close a worker.
+    /// Number of consecutive failures that quarantine a worker.
     pub failures: u32,
-    /// How many different jobs they have to be of.
+    /// Minimum number of different jobs that these failures must belong to.
     pub jobs: usize,
-    /// How long a worker stays closed the first time; doubles each time after.
+    /// Length of the first quarantine in milliseconds; it doubles with each further one.
     pub first_ms: Millis,
-    /// The longest time that it stays closed.
+    /// Upper bound on the length of a quarantine, in milliseconds.
     pub longest_ms: Millis,
 }
 
@@ -31,79 +31,80 @@
     }
 }
 
-/// Whether a worker may be given tasks.
+/// Whether tasks may be placed on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerHealth {
-    /// It may.
+    /// Tasks may be placed on it.
     Healthy,
-    /// It may be given one task as a probe.
+    /// One task at a time may be placed on it, as a probe.
     Probation,
-    /// It may not until the time given.
+    /// No task may be placed on it yet.
     Quarantined {
-        /// When it may be probed.
+        /// The time from which a probe may be placed.
         until: Millis,
     },
 }
 
 #[derive(Clone, Debug, Default)]
-struct FailureRun {
+struct FailureStreak {
     jobs: BTreeSet<JobId>,
     failures: u32,
-    closed_times: u32,
+    quarantine_count: u32,
     until: Option<Millis>,
 }
 
-/// Failure runs of workers.
+/// Tracks consecutive failures per worker and decides which workers are quarantined.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineTracker {
     rule: QuarantineRule,
-    runs: HashMap<WorkerId, FailureRun>,
+    streaks: HashMap<WorkerId, FailureStreak>,
 }
 
 impl QuarantineTracker {
-    /// Starts with limits other than the usual ones.
+    /// Creates a tracker with other limits than the default ones.
     pub fn with_rule(rule: QuarantineRule) -> Self {
         Self {
             rule,
-            runs: HashMap::new(),
+            streaks: HashMap::new(),
         }
     }
 
-    /// Notes that an attempt of `job` failed on `worker`; returns true where that closes the worker.
+    /// Records that an attempt of `job` failed on `worker`; returns whether this failure quarantines the worker.
     pub fn note_failure(&mut self, worker: &WorkerId, job: &JobId, now: Millis) -> bool {
         let rule = self.rule;
-        let run = self.runs.entry(worker.clone()).or_default();
-        run.failures += 1;
-        if run.jobs.len() < rule.jobs {
-            run.jobs.insert(job.clone());
+        let streak = self.streaks.entry(worker.clone()).or_default();
+        streak.failures += 1;
+        if streak.jobs.len() < rule.jobs {
+            streak.jobs.insert(job.clone());
         }
-        let on_probation = run.until.is_some();
-        let closes = on_probation || (run.failures >= rule.failures && run.jobs.len() >= rule.jobs);
-        if closes {
-            let doublings = run.closed_times.min(16);
-            let length = (rule.first_ms << doublings).min(rule.longest_ms);
-            run.until = Some(now + length);
-            run.closed_times += 1;
+        let on_probation = streak.until.is_some();
+        let quarantined =
+            on_probation || (streak.failures >= rule.failures && streak.jobs.len() >= rule.jobs);
+        if quarantined {
+            let doublings = streak.quarantine_count.min(16);
+            let length_ms = (rule.first_ms << doublings).min(rule.longest_ms);
+            streak.until = Some(now + length_ms);
+            streak.quarantine_count += 1;
         }
-        closes
+        quarantined
     }
 
-    /// Notes that an attempt finished on `worker`.
+    /// Records that an attempt succeeded on `worker`; this ends its streak of failures and its quarantine.
     pub fn note_success(&mut self, worker: &WorkerId) {
-        self.runs.remove(worker);
+        self.streaks.remove(worker);
     }
 
-    /// Says whether `worker` may be given tasks.
+    /// Returns whether tasks may be placed on `worker` at `now`.
     pub fn health(&self, worker: &WorkerId, now: Millis) -> WorkerHealth {
-        match self.runs.get(worker).and_then(|run| run.until) {
+        match self.streaks.get(worker).and_then(|streak| streak.until) {
             None => WorkerHealth::Healthy,
             Some(until) if now < until => WorkerHealth::Quarantined { until },
             Some(_) => WorkerHealth::Probation,
         }
     }
 
-    /// Forgets a worker that has gone.
+    /// Drops the state of a worker that was removed.
     pub fn forget(&mut self, worker: &WorkerId) {
-        self.runs.remove(worker);
+        self.streaks.remove(worker);
     }
 }
--- a/crates/place/src/weights.rs
+++ b/crates/place/src/weights.rs
@@ -1,13 +1,13 @@
-//! The operator's weights as placement uses them.
+//! The operator's weights for placement decisions.
 
-/// How much each thing measured counts; larger matters more.
+/// The relative importance of each optimisation goal; a larger weight matters more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlaceWeights {
-    /// Tail latency of the services.
+    /// Weight of the services' tail latency.
     pub tail: f64,
-    /// Batch work done.
+    /// Weight of batch throughput.
     pub throughput: f64,
-    /// Evictions, as wasted work.
+    /// Weight of evictions, which waste work.
     pub evictions: f64,
 }
 
--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The pool never plans a worker past what it has, and its parts do what their names say.
+//! Reservations never exceed a worker's capacity; estimates, pressure, quarantine, queue and sizes behave as documented.
 
 use proptest::prelude::*;
 use sandshelf_cases::cases;
@@ -56,7 +56,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn reservations_never_pass_capacity(steps in steps()) {
+    fn reservations_never_exceed_capacity(steps in steps()) {
         let mut pool = WorkerPool::new(3, PlaceWeights::default());
         for number in 0..5 {
             let entry = worker(number, 8_000);
@@ -94,20 +94,20 @@
     }
 }
 
-/// Pairs that are seen in changing company are told apart.
-fn pairs_are_told_apart() {
+/// The effects of families that are measured in changing combinations are learned separately.
+fn effects_are_learned_separately() {
     let mut estimate = SlowdownEstimate::default();
     let service = ServiceId::from("pricing");
-    let truth = [("quiet", 0.02), ("loud", 0.5), ("middling", 0.2)];
+    let true_effects = [("quiet", 0.02), ("loud", 0.5), ("middling", 0.2)];
     for round in 0..600_u32 {
-        let families: Vec<(String, u32)> = truth
+        let families: Vec<(String, u32)> = true_effects
             .iter()
             .enumerate()
             .map(|(position, (family, _))| ((*family).to_owned(), (round >> position) % 3))
             .filter(|(_, count)| *count > 0)
             .collect();
         let slowdown = families.iter().map(|(family, count)| {
-            let effect = truth.iter().find(|(known, _)| known == family);
+            let effect = true_effects.iter().find(|(known, _)| known == family);
             effect.map_or(0.0, |(_, effect)| effect * f64::from(*count))
         });
         let sample = SlowdownSample {
@@ -119,22 +119,22 @@
         };
         estimate.learn(&sample, u64::from(round));
     }
-    for (family, effect) in truth {
+    for (family, effect) in true_effects {
         let learned = estimate.effect(&service, family, LoadBand::Busy);
         assert!(
             (learned - effect).abs() < 0.06,
-            "{family}: {learned} for {effect}"
+            "{family}: learned {learned}, true effect {effect}"
         );
     }
     let busier = estimate.effect(&service, "loud", LoadBand::Peak);
     assert!(
         busier > 0.5,
-        "an unseen band is not taken for harmless: {busier}"
+        "an unmeasured band must not be estimated as harmless: {busier}"
     );
 }
 
-/// A measurement that speaks of long ago teaches nothing.
-fn old_samples_teach_nothing() {
+/// A sample with an old time stamp is ignored.
+fn old_samples_are_ignored() {
     let mut estimate = SlowdownEstimate::default();
     let sample = SlowdownSample {
         service: ServiceId::from("pricing"),
@@ -150,7 +150,7 @@
     );
 }
 
-/// Under lasting pressure the worst offender is throttled first and evicted later, and evictions have a budget.
+/// Under a persistent slowdown the task with the largest effect is throttled first and evicted later, within the budget.
 fn pressure_throttles_then_evicts() {
     let weights = PlaceWeights {
         tail: 5.0,
@@ -195,30 +195,33 @@
     let evictions = actions
         .iter()
         .filter(|action| matches!(action, PressureAction::Evict { .. }));
-    assert!(evictions.count() <= 24, "the budget of 4 and one each 30 s");
+    assert!(
+        evictions.count() <= 24,
+        "more evictions than the budget of 4 and one per 30 s"
+    );
 }
 
-/// Different jobs that fail on a worker close it, the same job does not, and it comes back by a probe.
-fn quarantine_tells_workers_from_tasks() {
-    let mut book = QuarantineTracker::default();
-    let (bad, fine) = (WorkerId::from("bad"), WorkerId::from("fine"));
+/// Failures of different jobs quarantine a worker, failures of one job do not, and a successful probe ends the quarantine.
+fn quarantine_needs_failures_of_several_jobs() {
+    let mut tracker = QuarantineTracker::default();
+    let (faulty, healthy) = (WorkerId::from("bad"), WorkerId::from("fine"));
     for round in 0..10 {
-        assert!(!book.note_failure(&fine, &JobId::from("same"), round));
+        assert!(!tracker.note_failure(&healthy, &JobId::from("same"), round));
     }
-    assert!(!book.note_failure(&bad, &JobId::from("one"), 1));
-    assert!(!book.note_failure(&bad, &JobId::from("two"), 2));
-    assert!(book.note_failure(&bad, &JobId::from("three"), 3));
+    assert!(!tracker.note_failure(&faulty, &JobId::from("one"), 1));
+    assert!(!tracker.note_failure(&faulty, &JobId::from("two"), 2));
+    assert!(tracker.note_failure(&faulty, &JobId::from("three"), 3));
     assert!(matches!(
-        book.health(&bad, 4),
+        tracker.health(&faulty, 4),
         WorkerHealth::Quarantined { .. }
     ));
-    assert_eq!(book.health(&bad, 100_000), WorkerHealth::Probation);
-    book.note_success(&bad);
-    assert_eq!(book.health(&bad, 100_001), WorkerHealth::Healthy);
+    assert_eq!(tracker.health(&faulty, 100_000), WorkerHealth::Probation);
+    tracker.note_success(&faulty);
+    assert_eq!(tracker.health(&faulty, 100_001), WorkerHealth::Healthy);
 }
 
-/// Urgent tasks come first, but not for ever, and the team that holds least of its quota comes next.
-fn turns_are_fair() {
+/// Urgent tasks come first, except after eight in a row; then the team that holds the smallest part of its quota comes first.
+fn serving_order_is_fair() {
     let mut queue = PendingQueue::default();
     let mut quotas = QuotaLedger::default();
     let key = |urgent, team: &str| PendingKey {
@@ -232,28 +235,31 @@
     queue.insert(&key(false, "a"), &attempt(1).task);
     queue.insert(&key(false, "b"), &attempt(2).task);
     queue.insert(&key(true, "a"), &attempt(3).task);
-    let turn = queue.serving_order(&quotas);
-    assert_eq!(turn, vec![key(true, "a"), key(false, "b"), key(false, "a")]);
+    let order = queue.serving_order(&quotas);
+    assert_eq!(
+        order,
+        vec![key(true, "a"), key(false, "b"), key(false, "a")]
+    );
     (0..8).for_each(|_| queue.note_placed(true));
     assert!(!queue.serving_order(&quotas)[0].urgent);
 }
 
-/// What was seen corrects a declaration upwards only.
-fn prior_is_corrected_upwards() {
-    let mut prior = FamilyHistory::default();
+/// Observed use raises the reserved size above the declared one but never lowers it.
+fn reserved_size_is_only_raised() {
+    let mut history = FamilyHistory::default();
     let declared = ResourceSize::new(2_000, 4_000, 0);
-    prior.note_usage("small", &ResourceSize::new(500, 1_000, 0));
-    assert_eq!(prior.reserve_size("small", &declared), declared);
-    prior.note_usage("large", &ResourceSize::new(8_000, 1_000, 0));
-    let reserved = prior.reserve_size("large", &declared);
+    history.note_usage("small", &ResourceSize::new(500, 1_000, 0));
+    assert_eq!(history.reserve_size("small", &declared), declared);
+    history.note_usage("large", &ResourceSize::new(8_000, 1_000, 0));
+    let reserved = history.reserve_size("large", &declared);
     assert_eq!(reserved, ResourceSize::new(9_200, 4_000, 0));
 }
 
 cases! {
-    estimates_tell_pairs_apart => pairs_are_told_apart();
-    estimates_ignore_old_samples => old_samples_teach_nothing();
+    estimates_separate_families => effects_are_learned_separately();
+    estimates_ignore_old_samples => old_samples_are_ignored();
     pressure_has_steps_and_a_budget => pressure_throttles_then_evicts();
-    quarantine_closes_workers_not_tasks => quarantine_tells_workers_from_tasks();
-    queue_turns_are_fair => turns_are_fair();
-    sizes_are_corrected_upwards => prior_is_corrected_upwards();
+    quarantine_applies_to_workers_not_tasks => quarantine_needs_failures_of_several_jobs();
+    queue_order_is_fair => serving_order_is_fair();
+    sizes_are_only_raised => reserved_size_is_only_raised();
 }
