--- a/crates/route/src/core.rs
+++ b/crates/route/src/core.rs
@@ -1,4 +1,4 @@
-//! One entry host's router: what becomes of each request.
+//! The router of one entry host: dispatches, queues, retries and gives up requests.
 
 use std::collections::HashMap;
 
@@ -14,30 +14,30 @@
 use crate::retry::RetryBudget;
 use crate::share::{MembershipView, SlotShare};
 
-/// The shortest time after which a refused caller is asked to come back.
-const LEAST_RETRY_AFTER_MS: Millis = 50;
-/// The most attempts at one request.
-const MOST_ATTEMPTS: u32 = 3;
-/// What a service's answers are assumed to take before the first was seen.
-const ASSUMED_SERVICE_MS: f64 = 20.0;
-/// The weight of the newest answer in a class's running mean.
-const SERVICE_STEP: f64 = 0.05;
+/// Shortest time after which a caller is asked to send a request again that was given up.
+const MIN_RETRY_AFTER_MS: Millis = 50;
+/// Maximum number of attempts at one request.
+const MAX_ATTEMPTS: u32 = 3;
+/// Assumed latency of a service before its first answer, in milliseconds.
+const INITIAL_LATENCY_MS: f64 = 20.0;
+/// Weight of the newest answer in a class's running mean latency.
+const LATENCY_MEAN_WEIGHT: f64 = 0.05;
 
 #[derive(Clone, Debug)]
-struct FlightInfo {
+struct InFlightRequest {
     info: RequestInfo,
     server: ServerId,
     attempts: u32,
-    /// Whether an attempt before this one may have run; the final verdict never forgets it.
+    /// Whether an earlier attempt may have run; if so, the final verdict is at least `MayHaveRun`.
     may_have_run: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ServiceMean {
+struct ClassLatency {
     latency_ms: f64,
 }
 
-/// One entry host's router.
+/// The router of one entry host.
 #[derive(Clone, Debug)]
 pub struct RouteCore {
     fleet: ServerFleet,
@@ -45,18 +45,18 @@
     limits: RouteLimits,
     queue: ClassQueue,
     budget: RetryBudget,
-    flights: HashMap<u64, FlightInfo>,
-    means: HashMap<ServiceId, ServiceMean>,
+    flights: HashMap<u64, InFlightRequest>,
+    class_latencies: HashMap<ServiceId, ClassLatency>,
     counts: RouteCounts,
-    source: ChaCha8Rng,
+    rng: ChaCha8Rng,
     strategy: RouteStrategy,
-    turn: usize,
-    /// The server whose slot was given back last; a waiting request of its service takes it.
-    freed: Option<ServerId>,
+    next_turn: usize,
+    /// The server on which a slot was freed last; it is tried first for a waiting request of its service.
+    last_freed: Option<ServerId>,
 }
 
 impl RouteCore {
-    /// Makes a router without servers; equal seeds give equal choices.
+    /// Creates a router without servers. `seed` seeds its random choices: equal seeds and equal events give equal actions.
     pub fn new(host: HostId, hall: HallId, limits: RouteLimits, seed: u64) -> Self {
         Self {
             fleet: ServerFleet::new(hall),
@@ -65,28 +65,28 @@
             queue: ClassQueue::default(),
             budget: RetryBudget::default(),
             flights: HashMap::new(),
-            means: HashMap::new(),
+            class_latencies: HashMap::new(),
             counts: RouteCounts::default(),
-            source: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             strategy: RouteStrategy::default(),
-            turn: 0,
-            freed: None,
+            next_turn: 0,
+            last_freed: None,
         }
     }
 
-    /// Chooses servers by another strategy; for measurements.
+    /// Sets the strategy for choosing servers; used by benchmarks.
     pub fn set_strategy(&mut self, strategy: RouteStrategy) {
         self.strategy = strategy;
     }
 
-    /// Takes in one event and returns what to do.
+    /// Handles one event that happens at `now` and returns the actions to take.
     pub fn handle(&mut self, now: Millis, event: RouteEvent) -> Vec<RouteAction> {
         let mut actions = Vec::new();
         match event {
-            RouteEvent::Tick => self.expire(now, &mut actions),
-            RouteEvent::Arrived(info) => self.arrive(now, info, &mut actions),
-            RouteEvent::Ended { request, end } => self.end(now, request, end, &mut actions),
-            RouteEvent::ServersListed(entries) => self.list_servers(now, &entries),
+            RouteEvent::Tick => self.expire_waiting(now, &mut actions),
+            RouteEvent::Arrived(info) => self.handle_arrival(now, info, &mut actions),
+            RouteEvent::Ended { request, end } => self.handle_end(now, request, end, &mut actions),
+            RouteEvent::ServersListed(entries) => self.record_listed_servers(now, &entries),
             RouteEvent::ServersLeaving(servers) => {
                 servers.iter().for_each(|server| {
                     self.fleet.mark_leaving(server);
@@ -95,22 +95,24 @@
             RouteEvent::ServersGone(servers) => {
                 servers.iter().for_each(|server| self.fleet.forget(server));
             }
-            RouteEvent::FirstViewReceived { version, members } => self.take_view(&MembershipView {
-                version,
-                members,
-                earlier: Vec::new(),
-            }),
-            RouteEvent::ViewRead(view) => self.take_view(&view),
+            RouteEvent::FirstViewReceived { version, members } => {
+                self.apply_view(&MembershipView {
+                    version,
+                    members,
+                    earlier: Vec::new(),
+                })
+            }
+            RouteEvent::ViewRead(view) => self.apply_view(&view),
             RouteEvent::PeerViewReported { host, version } => {
                 if self.share.note_reached(&host, version) {
-                    self.recount_shares();
+                    self.recompute_shares();
                 }
             }
             RouteEvent::HostsGone(hosts) => self.note_hosts_gone(&hosts),
             RouteEvent::SlotsSet(slots) => {
                 if slots != self.limits.slots {
                     self.limits.slots = slots;
-                    self.recount_shares();
+                    self.recompute_shares();
                 }
             }
         }
@@ -118,9 +120,9 @@
         actions
     }
 
-    fn list_servers(&mut self, now: Millis, entries: &[ServerEntry]) {
+    fn record_listed_servers(&mut self, now: Millis, entries: &[ServerEntry]) {
         for entry in entries {
-            // A known server's share changes only with the views, which recount all of them.
+            // The share of a known server changes only with a view, a gone host or the number of slots, which recompute all shares.
             if self.fleet.upsert(now, entry) {
                 let share = self.share.usable(&entry.server, self.limits.slots);
                 if let Some(load) = self.fleet.get_mut(&entry.server) {
@@ -130,37 +132,37 @@
         }
     }
 
-    fn take_view(&mut self, view: &MembershipView) {
+    fn apply_view(&mut self, view: &MembershipView) {
         self.share.note_view(view);
-        self.recount_shares();
+        self.recompute_shares();
     }
 
     fn note_hosts_gone(&mut self, hosts: &[HostId]) {
-        let mut news = false;
+        let mut changed = false;
         for host in hosts {
-            news |= self.share.note_gone(host);
+            changed |= self.share.note_gone(host);
         }
-        if news {
-            self.recount_shares();
+        if changed {
+            self.recompute_shares();
         }
     }
 
-    fn recount_shares(&mut self) {
+    fn recompute_shares(&mut self) {
         self.share.prune();
         for load in self.fleet.servers_mut() {
             load.share = self.share.usable(&load.entry.server, self.limits.slots);
         }
     }
 
-    fn arrive(&mut self, now: Millis, info: RequestInfo, actions: &mut Vec<RouteAction>) {
+    fn handle_arrival(&mut self, now: Millis, info: RequestInfo, actions: &mut Vec<RouteAction>) {
         self.counts.arrived += 1;
         self.budget.note_request();
         if info.deadline <= now {
             self.give_up(&QueuedRequest::fresh(info, now), actions);
             return;
         }
-        let waits = self.queue.len_of(&info.class) > 0;
-        if !waits {
+        let class_waits = self.queue.len_of(&info.class) > 0;
+        if !class_waits {
             if let Some(server) = self.choose(now, &info.class, None) {
                 self.dispatch(QueuedRequest::fresh(info, now), server, actions);
                 return;
@@ -169,18 +171,19 @@
         self.enqueue_or_refuse(now, info, actions);
     }
 
-    /// Queues a request where its turn can come before its deadline; refuses it at once where not.
+    /// Queues a request if it is expected to be answered before its deadline and the queue has space; otherwise gives it up at once.
     fn enqueue_or_refuse(
         &mut self,
         now: Millis,
         info: RequestInfo,
         actions: &mut Vec<RouteAction>,
     ) {
-        let expected = now + self.expected_wait(&info.class) + self.mean_latency(&info.class);
+        let expected_answer_at =
+            now + self.expected_wait(&info.class) + self.mean_latency_whole_ms(&info.class);
         let full = self.queue.len() >= self.limits.queue;
-        let over_part = self.queue.len_of(&info.class) >= self.class_part();
-        let crowded = full || (over_part && self.queue.len() * 2 > self.limits.queue);
-        if crowded || expected > info.deadline {
+        let over_share = self.queue.len_of(&info.class) >= self.class_queue_share();
+        let no_space = full || (over_share && self.queue.len() * 2 > self.limits.queue);
+        if no_space || expected_answer_at > info.deadline {
             self.give_up(&QueuedRequest::fresh(info, now), actions);
             return;
         }
@@ -188,43 +191,44 @@
         self.queue.push(QueuedRequest::fresh(info, now));
     }
 
-    /// The part of the queue that one class may fill while others wait, too.
-    fn class_part(&self) -> usize {
+    /// Returns the number of queue places that one class may fill once the queue is more than half full.
+    fn class_queue_share(&self) -> usize {
         self.limits.queue / (self.queue.class_count() + 1)
     }
 
-    /// How long a request that joins the queue now waits, from the class's share of slots and its mean latency.
+    /// Returns the expected wait, in milliseconds, of a request that is queued now: computed from the number of requests ahead,
+    /// this host's slots for the class and the mean latency of the class.
     fn expected_wait(&self, class: &ServiceId) -> Millis {
         let slots = self.fleet.share_of(class).max(1);
         let ahead = self.queue.len_of(class) as f64;
-        let mean = self.mean_of(class);
+        let mean = self.mean_latency_ms(class);
         (ahead * mean / f64::from(slots)) as Millis
     }
 
-    fn mean_of(&self, class: &ServiceId) -> f64 {
-        let mean = self.means.get(class);
-        mean.map_or(ASSUMED_SERVICE_MS, |mean| mean.latency_ms)
+    fn mean_latency_ms(&self, class: &ServiceId) -> f64 {
+        let mean = self.class_latencies.get(class);
+        mean.map_or(INITIAL_LATENCY_MS, |mean| mean.latency_ms)
     }
 
-    fn mean_latency(&self, class: &ServiceId) -> Millis {
-        self.mean_of(class) as Millis
+    fn mean_latency_whole_ms(&self, class: &ServiceId) -> Millis {
+        self.mean_latency_ms(class) as Millis
     }
 
     fn choose(
         &mut self,
         now: Millis,
         class: &ServiceId,
-        not: Option<&ServerId>,
+        excluded: Option<&ServerId>,
     ) -> Option<ServerId> {
         match self.strategy {
-            RouteStrategy::Weighed => self.fleet.choose(now, class, not, &mut self.source),
+            RouteStrategy::Weighed => self.fleet.choose(now, class, excluded, &mut self.rng),
             RouteStrategy::RoundRobin => {
-                self.turn += 1;
-                self.fleet.choose_in_turn(now, class, self.turn)
+                self.next_turn += 1;
+                self.fleet.choose_in_turn(now, class, self.next_turn)
             }
             RouteStrategy::Random => {
                 use rand::RngExt;
-                let turn = self.source.random_range(0..usize::MAX / 2);
+                let turn = self.rng.random_range(0..usize::MAX / 2);
                 self.fleet.choose_in_turn(now, class, turn)
             }
         }
@@ -249,7 +253,7 @@
         });
         self.flights.insert(
             info.id,
-            FlightInfo {
+            InFlightRequest {
                 info,
                 server,
                 attempts: attempt,
@@ -258,13 +262,19 @@
         );
     }
 
-    fn end(&mut self, now: Millis, request: u64, end: AttemptEnd, actions: &mut Vec<RouteAction>) {
+    fn handle_end(
+        &mut self,
+        now: Millis,
+        request: u64,
+        end: AttemptEnd,
+        actions: &mut Vec<RouteAction>,
+    ) {
         let Some(flight) = self.flights.remove(&request) else {
             return;
         };
         if let Some(load) = self.fleet.get_mut(&flight.server) {
             load.in_flight = load.in_flight.saturating_sub(1);
-            self.freed = Some(flight.server.clone());
+            self.last_freed = Some(flight.server.clone());
         }
         match end {
             AttemptEnd::Answered { latency_ms } => self.deliver(flight, latency_ms, actions),
@@ -283,32 +293,37 @@
         }
     }
 
-    fn deliver(&mut self, flight: FlightInfo, latency_ms: Millis, actions: &mut Vec<RouteAction>) {
+    fn deliver(
+        &mut self,
+        flight: InFlightRequest,
+        latency_ms: Millis,
+        actions: &mut Vec<RouteAction>,
+    ) {
         self.fleet.note_answer(&flight.server, latency_ms as f64);
-        let mean = self.means.entry(flight.info.class.clone());
-        let mean = mean.or_insert(ServiceMean {
+        let mean = self.class_latencies.entry(flight.info.class.clone());
+        let mean = mean.or_insert(ClassLatency {
             latency_ms: latency_ms as f64,
         });
-        mean.latency_ms += SERVICE_STEP * (latency_ms as f64 - mean.latency_ms);
+        mean.latency_ms += LATENCY_MEAN_WEIGHT * (latency_ms as f64 - mean.latency_ms);
         self.counts.delivered += 1;
         actions.push(RouteAction::Deliver {
             request: flight.info.id,
         });
     }
 
-    /// Tries a request again where its verdict, its deadline and the budget allow it; else gives it up at once.
+    /// Retries a request if the verdict, the number of attempts, the deadline and the retry budget allow it; otherwise gives it up.
     fn retry(
         &mut self,
         now: Millis,
-        flight: FlightInfo,
+        flight: InFlightRequest,
         verdict: RunVerdict,
         actions: &mut Vec<RouteAction>,
     ) {
         let info = flight.info;
         let may_have_run = flight.may_have_run || verdict == RunVerdict::MayHaveRun;
         let allowed = verdict.allows_retry(info.repeatable)
-            && flight.attempts < MOST_ATTEMPTS
-            && now + self.mean_latency(&info.class) < info.deadline
+            && flight.attempts < MAX_ATTEMPTS
+            && now + self.mean_latency_whole_ms(&info.class) < info.deadline
             && self.budget.take(now);
         let request = QueuedRequest {
             info,
@@ -327,7 +342,7 @@
         }
     }
 
-    /// Tells the caller what is known of all attempts together.
+    /// Gives up a request, with the verdict over all its attempts.
     fn give_up(&mut self, request: &QueuedRequest, actions: &mut Vec<RouteAction>) {
         let info = &request.info;
         let verdict = if request.may_have_run {
@@ -338,7 +353,7 @@
             RunVerdict::NotRun
         };
         let again = verdict.allows_retry(info.repeatable);
-        let wait = self.expected_wait(&info.class).max(LEAST_RETRY_AFTER_MS);
+        let wait = self.expected_wait(&info.class).max(MIN_RETRY_AFTER_MS);
         actions.push(RouteAction::GiveUp {
             request: info.id,
             verdict,
@@ -346,14 +361,14 @@
         });
     }
 
-    /// Gives up what waits past its deadline.
-    fn expire(&mut self, now: Millis, actions: &mut Vec<RouteAction>) {
+    /// Gives up waiting requests whose deadline has passed.
+    fn expire_waiting(&mut self, now: Millis, actions: &mut Vec<RouteAction>) {
         for queued in self.queue.take_expired(now) {
             self.give_up(&queued, actions);
         }
     }
 
-    /// Hands free slots to waiting requests, one class after the other.
+    /// Assigns free slots to waiting requests, one request per class in turn.
     fn serve_queue(&mut self, now: Millis, actions: &mut Vec<RouteAction>) {
         let mut served = !self.queue.is_empty();
         while served {
@@ -370,7 +385,7 @@
         class: &ServiceId,
         actions: &mut Vec<RouteAction>,
     ) -> bool {
-        let freed = self.freed.take();
+        let freed = self.last_freed.take();
         let freed = freed.filter(|server| self.fleet.is_free(now, class, server));
         let Some(server) = freed.or_else(|| self.choose(now, class, None)) else {
             return false;
@@ -386,32 +401,32 @@
         true
     }
 
-    /// Counts.
+    /// Returns the totals since the start.
     pub fn counts(&self) -> &RouteCounts {
         &self.counts
     }
 
-    /// Requests that are under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.flights.len()
     }
 
-    /// Requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// The view in use, to tell the other hosts.
+    /// Returns the version of the membership view in use, which is reported to the other hosts.
     pub fn view_version(&self) -> u64 {
         self.share.version()
     }
 
-    /// The shares of the slots.
+    /// Returns this host's share of the slots.
     pub fn share(&self) -> &SlotShare {
         &self.share
     }
 
-    /// Servers known to be leaving, to tell the other hosts.
+    /// Returns the servers known to be leaving, sorted; they are reported to the other hosts.
     pub fn leaving(&self) -> Vec<ServerId> {
         let loads = self.fleet.servers();
         let mut leaving: Vec<ServerId> = loads
@@ -422,7 +437,7 @@
         leaving
     }
 
-    /// The backend servers as this host sees them.
+    /// Returns the backend servers as seen by this host.
     pub fn fleet(&self) -> &ServerFleet {
         &self.fleet
     }
--- a/crates/route/src/events.rs
+++ b/crates/route/src/events.rs
@@ -1,16 +1,16 @@
-//! What the router is told, what it asks for, and its limits.
+//! The events and actions of the router, its limits and its counts.
 
 use sandshelf_model::{HostId, Millis, RunVerdict, ServerId, ServiceId};
 
 use crate::fleet::ServerEntry;
 use crate::share::MembershipView;
 
-/// Limits of the router.
+/// Limits of the router on waiting and concurrent requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteLimits {
-    /// The most requests that wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// Slots of one backend server, over all entry hosts.
+    /// Number of slots (concurrent requests) of one backend server, summed over all entry hosts.
     pub slots: u32,
 }
 
@@ -23,33 +23,33 @@
     }
 }
 
-/// How servers are chosen; the other is a baseline that measurements compare with.
+/// The policy for choosing a server. The policies other than `Weighed` are baselines for benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteStrategy {
-    /// The cheapest of a few.
+    /// Choose the server with the lowest cost from a small random sample.
     #[default]
     Weighed,
-    /// Any at random that has a slot.
+    /// Choose the first server with a free slot, starting at a random position of the list.
     Random,
-    /// In turn.
+    /// Choose the servers with a free slot in turn.
     RoundRobin,
 }
 
-/// A request as the router needs to know it.
+/// The properties of a request that matter for routing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestInfo {
-    /// Unique within this host's process.
+    /// Identifier of the request, unique within this host's process.
     pub id: u64,
-    /// The class, its service.
+    /// The request's class: the service that it is for.
     pub class: ServiceId,
-    /// Whether it may be run again when its fate is unknown.
+    /// Whether it may be run again when an earlier attempt may have run.
     pub repeatable: bool,
-    /// When its caller stops waiting.
+    /// The time at which its caller stops waiting.
     pub deadline: Millis,
 }
 
 impl RequestInfo {
-    /// Describes a repeatable request.
+    /// Creates the properties of a repeatable request.
     pub fn plain(id: u64, class: &str, deadline: Millis) -> Self {
         Self {
             id,
@@ -63,102 +63,102 @@
 /// How an attempt at a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered {
-        /// How long it took.
+        /// The time from sending the request to the complete answer, in milliseconds.
         latency_ms: Millis,
     },
-    /// The server said that it refused the request, or it was never sent.
+    /// The server refused the request, or the request was never sent.
     NotRun,
-    /// The server said that it is leaving; the request was not run.
+    /// The server reported that it is leaving; the request was not run.
     Leaving,
-    /// Something was sent and no whole answer came.
+    /// At least part of the request was sent and no complete answer was received.
     MayHaveRun,
 }
 
-/// What the router is told.
+/// An event that the router handles.
 #[derive(Clone, Debug)]
 pub enum RouteEvent {
-    /// Time has passed.
+    /// Time has passed: waiting requests may have expired.
     Tick,
-    /// A request has arrived whole.
+    /// A complete request was received from a caller.
     Arrived(RequestInfo),
-    /// An attempt has ended.
+    /// An attempt at a request has ended.
     Ended {
-        /// The request.
+        /// The request's identifier.
         request: u64,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// The platform's list, or what a peer says of it.
+    /// Servers listed by the platform, directly or as reported by a peer.
     ServersListed(Vec<ServerEntry>),
-    /// A peer or the platform says that these servers are leaving.
+    /// A peer or the platform reported that these servers are leaving.
     ServersLeaving(Vec<ServerId>),
-    /// The platform says that these servers are gone.
+    /// The platform reported that these servers are gone.
     ServersGone(Vec<ServerId>),
-    /// A view without earlier ones, as at the first start.
+    /// A membership view without earlier views was received, as at the first start.
     FirstViewReceived {
-        /// Its version.
+        /// The view's version.
         version: u64,
-        /// Its members.
+        /// The member hosts.
         members: Vec<HostId>,
     },
-    /// A view as written in the table.
+    /// A membership view was read from the table.
     ViewRead(MembershipView),
-    /// A peer's word on the view that it uses.
+    /// A peer reported the version of the membership view that it uses.
     PeerViewReported {
-        /// The peer.
+        /// The peer that reported it.
         host: HostId,
-        /// Its view's version.
+        /// The version of the peer's view.
         version: u64,
     },
-    /// The platform says that these entry hosts are gone.
+    /// The platform reported that these entry hosts are gone.
     HostsGone(Vec<HostId>),
-    /// The configuration gives backend servers this many slots.
+    /// The configuration sets the number of slots of each backend server.
     SlotsSet(u32),
 }
 
-/// What the router asks for.
+/// An action that the router requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteAction {
     /// Send the request to a server.
     Dispatch {
-        /// The request.
+        /// The request's identifier.
         request: u64,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// Which attempt this is, from 1.
+        /// The number of this attempt, counted from 1.
         attempt: u32,
     },
-    /// Hand the answer to the caller.
+    /// Deliver the answer to the caller.
     Deliver {
-        /// The request.
+        /// The request's identifier.
         request: u64,
     },
-    /// Tell the caller at once that the request is given up.
+    /// Report to the caller at once that the request is given up.
     GiveUp {
-        /// The request.
+        /// The request's identifier.
         request: u64,
-        /// Whether it may have run.
+        /// Whether the request may have run, over all its attempts.
         verdict: RunVerdict,
-        /// When to come back, where it may be sent again.
+        /// How many milliseconds the caller should wait before it sends the request again; `None` if it must not.
         retry_after: Option<Millis>,
     },
 }
 
-/// Counts for metrics and for bounds in tests.
+/// Totals since the start, for metrics and for assertions in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteCounts {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrived: u64,
-    /// Answers handed to callers.
+    /// Number of answers delivered to callers.
     pub delivered: u64,
-    /// Requests that were not run.
+    /// Number of requests given up that did not run.
     pub refused: u64,
-    /// Requests that may have run.
+    /// Number of requests given up that may have run.
     pub unknown: u64,
-    /// Second and later attempts.
+    /// Number of retries allowed: second and later attempts, including queued ones.
     pub retries: u64,
-    /// Requests that waited for a slot.
+    /// Number of requests that were queued on arrival to wait for a slot.
     pub queued: u64,
 }
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The backend servers of each service, and the choice of one.
+//! The backend servers of each service, and the choice of a server for a request.
 //!
-//! A choice draws a few servers with a free slot, own hall first, so that its cost doesn't grow with their number,
-//! and hosts that act on the same news don't all choose the same server.
+//! A choice samples a few servers with a free slot, those of the own hall first. So its cost does not grow with the number of
+//! servers, and hosts that have the same information do not all choose the same server.
 
 use std::collections::HashMap;
 
@@ -10,39 +10,39 @@
 
 use crate::eject::{EjectRule, ServerHealth};
 
-/// How many servers one choice draws in each hall.
-const DRAWN_SERVERS: usize = 4;
-/// How many servers one choice looks at in each of own hall and other halls, also where most are full.
-const LOOKED_AT_SERVERS: usize = 64;
-/// What a request to another hall costs, as latency in milliseconds.
-const OTHER_HALL_MS: f64 = 1.0;
-/// The weight of the newest latency in the running mean.
-const LATENCY_STEP: f64 = 0.2;
+/// Maximum number of servers with a free slot that one choice compares, in the own hall and in the other halls each.
+const SAMPLED_SERVERS: usize = 4;
+/// Maximum number of servers that one choice scans, in the own hall and in the other halls each, even if most have no free slot.
+const MAX_SCANNED_SERVERS: usize = 64;
+/// Additional cost of a server in another hall, as latency in milliseconds.
+const OTHER_HALL_COST_MS: f64 = 1.0;
+/// Weight of the newest latency in the running mean.
+const LATENCY_MEAN_WEIGHT: f64 = 0.2;
 
-/// Whether a server is to be sent requests.
+/// Whether new requests are sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It is.
+    /// New requests are sent to it.
     Live,
-    /// It is not, and this incarnation never will be again.
+    /// No new requests are sent to it; this incarnation never becomes live again.
     Leaving,
 }
 
-/// A backend server as the platform describes it.
+/// A backend server as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server's incarnation.
+    /// The identifier of the server's incarnation.
     pub server: ServerId,
     /// The service that it runs.
     pub service: ServiceId,
-    /// Its hall.
+    /// The hall that it is in.
     pub hall: HallId,
-    /// Whether it is to be sent requests.
+    /// Whether new requests are sent to it.
     pub state: ServerState,
 }
 
 impl ServerEntry {
-    /// Describes a live server.
+    /// Creates an entry for a live server.
     pub fn plain(server: &str, service: &str, hall: &str) -> Self {
         Self {
             server: ServerId::from(server),
@@ -53,18 +53,18 @@
     }
 }
 
-/// What one server carries and how it answers, as one entry host sees it.
+/// The load, latency and health of one server, as seen by one entry host.
 #[derive(Clone, Debug)]
 pub struct ServerLoad {
-    /// The platform's description.
+    /// The server's entry as listed by the platform.
     pub entry: ServerEntry,
-    /// Slots that this host may use.
+    /// Number of the server's slots that this host may use.
     pub share: u32,
-    /// Requests under way from this host.
+    /// Number of requests from this host that are in flight to the server.
     pub in_flight: u32,
-    /// A running mean of recent latency in milliseconds; 0 before the first answer.
+    /// Running mean of the latency in milliseconds; 0 before the first answer.
     pub latency_ms: f64,
-    /// Recent failures.
+    /// Consecutive failures, ejection and slow start.
     pub health: ServerHealth,
 }
 
@@ -82,7 +82,7 @@
     other_halls: Vec<ServerId>,
 }
 
-/// Every backend server, by service.
+/// All known backend servers, by service.
 #[derive(Clone, Debug)]
 pub struct ServerFleet {
     hall: HallId,
@@ -92,7 +92,7 @@
 }
 
 impl ServerFleet {
-    /// Makes an empty fleet as seen from `hall`.
+    /// Creates an empty fleet for an entry host in `hall`.
     pub fn new(hall: HallId) -> Self {
         Self {
             hall,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes in a server; one that is leaving never becomes live again. Returns whether it is new.
+    /// Adds a server, or updates the state of a known one. A leaving server never becomes live again. Returns whether it is new.
     pub fn upsert(&mut self, now: Millis, entry: &ServerEntry) -> bool {
         if let Some(known) = self.servers.get_mut(&entry.server) {
             if known.entry.state == ServerState::Live {
@@ -127,7 +127,7 @@
         true
     }
 
-    /// Marks a server as leaving, whoever said so; returns whether it was live.
+    /// Marks a server as leaving; returns whether it was live.
     pub fn mark_leaving(&mut self, server: &ServerId) -> bool {
         let Some(load) = self.servers.get_mut(server) else {
             return false;
@@ -137,7 +137,7 @@
         was_live
     }
 
-    /// Forgets a server that the platform lists as gone, once nothing is under way to it.
+    /// Marks a server as leaving that the platform lists as gone, and removes it if no request is in flight to it.
     pub fn forget(&mut self, server: &ServerId) {
         let idle = self
             .servers
@@ -155,27 +155,27 @@
         }
     }
 
-    /// Finds a server.
+    /// Returns a server; `None` if it is unknown.
     pub fn get(&self, server: &ServerId) -> Option<&ServerLoad> {
         self.servers.get(server)
     }
 
-    /// Finds a server, to change it.
+    /// Returns a server for modification; `None` if it is unknown.
     pub fn get_mut(&mut self, server: &ServerId) -> Option<&mut ServerLoad> {
         self.servers.get_mut(server)
     }
 
-    /// Lists every server, in no order.
+    /// Returns all servers, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = &ServerLoad> {
         self.servers.values()
     }
 
-    /// Changes every server.
+    /// Returns all servers for modification, in no particular order.
     pub fn servers_mut(&mut self) -> impl Iterator<Item = &mut ServerLoad> {
         self.servers.values_mut()
     }
 
-    /// Sums up the slots of a service that this host may use.
+    /// Returns the number of slots that this host may use, summed over the live servers of a service.
     pub fn share_of(&self, service: &ServiceId) -> u32 {
         let Some(lists) = self.services.get(service) else {
             return 0;
@@ -190,55 +190,57 @@
             .sum()
     }
 
-    /// Chooses a server with a free slot: the cheapest of a few, own hall first.
+    /// Chooses a server with a free slot: the one with the lowest cost of a random sample, from the own hall if it has any.
+    ///
+    /// `excluded` is a server that must not be chosen. Returns `None` if no scanned server has a free slot.
     pub fn choose(
         &self,
         now: Millis,
         service: &ServiceId,
-        not: Option<&ServerId>,
-        source: &mut impl Rng,
+        excluded: Option<&ServerId>,
+        rng: &mut impl Rng,
     ) -> Option<ServerId> {
         let lists = self.services.get(service)?;
-        let own = self.draw(now, &lists.own_hall, not, source);
+        let own = self.sample(now, &lists.own_hall, excluded, rng);
         let own = own.min_by(|a, b| a.1.total_cmp(&b.1));
         if let Some((server, _)) = own {
             return Some(server);
         }
-        let other = self.draw(now, &lists.other_halls, not, source);
+        let other = self.sample(now, &lists.other_halls, excluded, rng);
         let other = other.min_by(|a, b| a.1.total_cmp(&b.1));
         other.map(|(server, _)| server)
     }
 
-    /// Draws up to [`DRAWN_SERVERS`] with a free slot, walking on from random places.
-    fn draw<'a>(
+    /// Returns up to [`SAMPLED_SERVERS`] servers with a free slot and their costs, scanning `list` from a random position.
+    fn sample<'a>(
         &'a self,
         now: Millis,
         list: &'a [ServerId],
-        not: Option<&'a ServerId>,
-        source: &mut impl Rng,
+        excluded: Option<&'a ServerId>,
+        rng: &mut impl Rng,
     ) -> impl Iterator<Item = (ServerId, f64)> + 'a {
         let start = if list.is_empty() {
             0
         } else {
-            source.random_range(0..list.len())
+            rng.random_range(0..list.len())
         };
-        let turned = list[start..].iter().chain(&list[..start]);
-        turned
-            .take(LOOKED_AT_SERVERS)
-            .filter(move |server| Some(*server) != not)
+        let rotated = list[start..].iter().chain(&list[..start]);
+        rotated
+            .take(MAX_SCANNED_SERVERS)
+            .filter(move |server| Some(*server) != excluded)
             .map(|server| &self.servers[server])
             .filter(move |load| load.has_slot(now))
-            .take(DRAWN_SERVERS)
+            .take(SAMPLED_SERVERS)
             .map(move |load| (load.entry.server.clone(), self.cost(now, load)))
     }
 
-    /// Whether `server` runs `service` and has a slot free for this host.
+    /// Returns whether `server` runs `service` and has a free slot for this host.
     pub fn is_free(&self, now: Millis, service: &ServiceId, server: &ServerId) -> bool {
         let load = self.servers.get(server);
         load.is_some_and(|load| load.entry.service == *service && load.has_slot(now))
     }
 
-    /// Chooses any server with a free slot, in the order of the list after `turn`; the baseline.
+    /// Chooses the first server with a free slot, scanning the list from position `turn`; used by the baseline strategies.
     pub fn choose_in_turn(
         &self,
         now: Millis,
@@ -248,8 +250,8 @@
         let lists = self.services.get(service)?;
         let all: Vec<&ServerId> = lists.own_hall.iter().chain(&lists.other_halls).collect();
         let start = turn % all.len().max(1);
-        let turned = all[start..].iter().chain(&all[..start]);
-        turned
+        let rotated = all[start..].iter().chain(&all[..start]);
+        rotated
             .map(|server| &self.servers[*server])
             .find(|load| load.has_slot(now))
             .map(|load| load.entry.server.clone())
@@ -257,28 +259,28 @@
 
     fn cost(&self, now: Millis, load: &ServerLoad) -> f64 {
         let latency = load.latency_ms.max(1.0);
-        let hall = if load.entry.hall == self.hall {
+        let hall_cost = if load.entry.hall == self.hall {
             0.0
         } else {
-            OTHER_HALL_MS
+            OTHER_HALL_COST_MS
         };
-        let crowd = f64::from(load.in_flight + 1);
-        (latency * crowd + hall) * load.health.slow_start(now, &self.rule)
+        let occupancy = f64::from(load.in_flight + 1);
+        (latency * occupancy + hall_cost) * load.health.slow_start(now, &self.rule)
     }
 
-    /// Notes the latency of a whole answer.
+    /// Records the latency of a complete answer, in milliseconds.
     pub fn note_answer(&mut self, server: &ServerId, latency_ms: f64) {
         if let Some(load) = self.servers.get_mut(server) {
             load.health.note_success();
             load.latency_ms = if load.latency_ms == 0.0 {
                 latency_ms
             } else {
-                load.latency_ms + LATENCY_STEP * (latency_ms - load.latency_ms)
+                load.latency_ms + LATENCY_MEAN_WEIGHT * (latency_ms - load.latency_ms)
             };
         }
     }
 
-    /// Notes a failure; a server is ejected only while few of its service are.
+    /// Records a failure, which may eject the server. It is not ejected if too many servers of its service would then be.
     pub fn note_failure(&mut self, now: Millis, server: &ServerId) {
         let Some(load) = self.servers.get(server) else {
             return;
@@ -301,6 +303,6 @@
             .chain(&lists.other_halls)
             .filter(|server| self.servers[*server].health.is_ejected(now))
             .count();
-        (ejected + 1) * 100 <= all * self.rule.most_percent as usize
+        (ejected + 1) * 100 <= all * self.rule.max_ejected_percent as usize
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
-//! Routing, limits, retries and request verdicts as a sans-I/O library.
+//! Request routing, concurrency limits, retries and request verdicts, without I/O.
 //!
-//! A [`RouteCore`] is one entry host's router. It takes events with the time and returns actions;
-//! each request that arrives ends with exactly one final action.
+//! A [`RouteCore`] is the router of one entry host. It handles events, each with the current time, and returns actions.
+//! Each request that arrives ends with exactly one final action: its answer is delivered, or it is given up.
 //!
 //! ```
 //! use sandshelf_model::{HallId, HostId, ServiceId, ServerId};
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,4 +1,6 @@
-//! Requests that wait for a slot: bounded, in order within a class, in turn between classes.
+//! The queue of requests that wait for a slot, in order of arrival within each class.
+//!
+//! The router bounds the length of the queue and serves the classes in turn.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,21 +8,21 @@
 
 use crate::events::RequestInfo;
 
-/// A request that waits.
+/// A request that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// The request.
+    /// The request's properties.
     pub info: RequestInfo,
-    /// When it began to wait.
+    /// The time at which it was queued.
     pub since: Millis,
-    /// How many attempts it has had.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// Whether one of them may have run.
+    /// Whether one of these attempts may have run.
     pub may_have_run: bool,
 }
 
 impl QueuedRequest {
-    /// A request that has had no attempt.
+    /// Creates an entry for a request without attempts.
     pub fn fresh(info: RequestInfo, since: Millis) -> Self {
         Self {
             info,
@@ -31,7 +33,7 @@
     }
 }
 
-/// Waiting requests by class.
+/// Waiting requests, in one list per class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassQueue {
     classes: BTreeMap<ServiceId, VecDeque<QueuedRequest>>,
@@ -39,27 +41,27 @@
 }
 
 impl ClassQueue {
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// How many requests of a class wait.
+    /// Returns the number of waiting requests of a class.
     pub fn len_of(&self, class: &ServiceId) -> usize {
         self.classes.get(class).map_or(0, VecDeque::len)
     }
 
-    /// How many classes have requests waiting.
+    /// Returns the number of classes with waiting requests.
     pub fn class_count(&self) -> usize {
         self.classes.len()
     }
 
-    /// Adds a request at the end of its class, or at the front where it was tried already.
+    /// Adds a request at the end of its class's list, or at the front if it is a retry.
     pub fn push(&mut self, request: QueuedRequest) {
         let list = self.classes.entry(request.info.class.clone()).or_default();
         if request.attempts > 0 {
@@ -70,7 +72,7 @@
         self.length += 1;
     }
 
-    /// Takes the first request of a class.
+    /// Removes and returns the first request of a class; `None` if none waits.
     pub fn pop(&mut self, class: &ServiceId) -> Option<QueuedRequest> {
         let list = self.classes.get_mut(class)?;
         let request = list.pop_front();
@@ -81,22 +83,22 @@
         request
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline is at or before `now`.
     pub fn take_expired(&mut self, now: Millis) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         for list in self.classes.values_mut() {
-            let (late, waiting) = list
+            let (overdue, waiting) = list
                 .drain(..)
                 .partition(|request| request.info.deadline <= now);
             *list = waiting;
-            expired.extend::<VecDeque<QueuedRequest>>(late);
+            expired.extend::<VecDeque<QueuedRequest>>(overdue);
         }
         self.classes.retain(|_, list| !list.is_empty());
         self.length -= expired.len();
         expired
     }
 
-    /// The classes with waiting requests.
+    /// Returns the classes with waiting requests, sorted by name.
     pub fn classes(&self) -> Vec<ServiceId> {
         self.classes.keys().cloned().collect()
     }
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -1,52 +1,53 @@
-//! Each entry host's share of the backend servers' slots, without asking for each request.
+//! Each entry host's share of the backend servers' slots, computed locally instead of requested for each request.
 //!
-//! The slots of a server are dealt to the members of the newest view in turn, in an order of the server's own. A host uses
-//! a slot only when no other host can still be using it under an older view: every other host that held it in a view which that host has not
-//! yet been heard to leave behind blocks the slot. So the sum over all hosts never passes a server's slots, also while
-//! the membership changes: a host that loses a slot stops at once, and one that gains it waits for the other's word.
+//! The slots of a server are assigned round-robin to the members of the newest membership view, in an order that differs from
+//! server to server. A host uses a slot only if no other host can still be using it under an older view: a host that held the
+//! slot in an older view blocks it until that host has reported a newer view or is gone. So the slots in use, summed over all
+//! hosts, never exceed a server's slots, even while the membership changes. A host that loses a slot stops using it at once, and
+//! the host that gains it waits for the other's report.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sandshelf_model::{rendezvous_score, HostId, ServerId};
 use serde::{Deserialize, Serialize};
 
-/// The entry hosts that share the slots, as of one version.
+/// The entry hosts that share the slots, at one version of the membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipView {
-    /// Grows with each change.
+    /// The version, which is raised by one with each change of the members.
     pub version: u64,
-    /// The hosts, in order.
+    /// The member hosts, sorted.
     pub members: Vec<HostId>,
-    /// Earlier views that some host may still be using.
+    /// Older views that some host may still be using.
     pub earlier: Vec<MembershipView>,
 }
 
-/// One host's knowledge of views and of who has left which behind.
+/// One host's knowledge of the membership views and of the version that each other host has reached.
 #[derive(Clone, Debug)]
 pub struct SlotShare {
     host: HostId,
     views: BTreeMap<u64, Vec<HostId>>,
-    reached: BTreeMap<HostId, u64>,
+    reached_versions: BTreeMap<HostId, u64>,
     gone: BTreeSet<HostId>,
 }
 
 impl SlotShare {
-    /// Starts without a view: no slot may be used.
+    /// Creates a share without a view; no slot may be used.
     pub fn new(host: HostId) -> Self {
         Self {
             host,
             views: BTreeMap::new(),
-            reached: BTreeMap::new(),
+            reached_versions: BTreeMap::new(),
             gone: BTreeSet::new(),
         }
     }
 
-    /// The newest version taken in; this is what the other hosts are told.
+    /// Returns the newest known version, which is reported to the other hosts; 0 without a view.
     pub fn version(&self) -> u64 {
         self.views.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Takes in a view with the earlier ones that it lists; returns whether it is newer.
+    /// Records a view and the older views that it lists; returns whether it is newer than all known views.
     pub fn note_view(&mut self, view: &MembershipView) -> bool {
         let newer = view.version > self.version();
         for known in view.earlier.iter().chain([view]) {
@@ -55,25 +56,25 @@
         newer
     }
 
-    /// Takes in that `host` uses no view older than `version`; returns whether that was news.
+    /// Records that `host` uses no view older than `version`; returns whether `version` is higher than recorded before.
     pub fn note_reached(&mut self, host: &HostId, version: u64) -> bool {
-        let reached = self.reached.entry(host.clone()).or_default();
-        let news = version > *reached;
+        let reached = self.reached_versions.entry(host.clone()).or_default();
+        let is_newer = version > *reached;
         *reached = version.max(*reached);
-        news
+        is_newer
     }
 
-    /// Takes in that the platform lists `host` as gone: it uses no slot any more.
+    /// Records that the platform lists `host` as gone, so that it uses no slot; returns whether that was new.
     pub fn note_gone(&mut self, host: &HostId) -> bool {
         self.gone.insert(host.clone())
     }
 
-    /// Whether the platform lists `host` as gone.
+    /// Returns whether the platform lists `host` as gone.
     pub fn is_gone(&self, host: &HostId) -> bool {
         self.gone.contains(host)
     }
 
-    /// Counts the slots of `server`, out of `slots`, that this host may use now.
+    /// Returns how many of the `slots` slots of `server` this host may use now.
     pub fn usable(&self, server: &ServerId, slots: u32) -> u32 {
         let Some((&newest, members)) = self.views.iter().next_back() else {
             return 0;
@@ -94,15 +95,15 @@
         .count() as u32
     }
 
-    /// Whether another host may still be using what it held under the view `version`.
+    /// Returns whether another host may still be using a slot that it held in the view `version`.
     fn may_still_use(&self, holder: &HostId, version: u64) -> bool {
         if *holder == self.host || self.gone.contains(holder) {
             return false;
         }
-        self.reached.get(holder).copied().unwrap_or(0) <= version
+        self.reached_versions.get(holder).copied().unwrap_or(0) <= version
     }
 
-    /// The view to write when the members change to `members`; keeps the earlier views that may still be used.
+    /// Returns the view to write when the members change to `members`. It lists the known views that some host may still be using.
     pub fn next_view(&self, members: Vec<HostId>) -> MembershipView {
         let earlier = self
             .views
@@ -122,13 +123,13 @@
 
     fn may_be_used(&self, version: u64, members: &[HostId]) -> bool {
         members.iter().any(|member| {
-            let reached = self.reached.get(member).copied().unwrap_or(0);
+            let reached = self.reached_versions.get(member).copied().unwrap_or(0);
             let own = *member == self.host;
             own || (!self.gone.contains(member) && reached <= version)
         })
     }
 
-    /// The members of the newest view.
+    /// Returns the members of the newest view; empty without a view.
     pub fn members(&self) -> &[HostId] {
         self.views
             .values()
@@ -136,7 +137,7 @@
             .map_or(&[], |members| members.as_slice())
     }
 
-    /// Forgets earlier views that no host can be using.
+    /// Drops older views that no other host can be using.
     pub fn prune(&mut self) {
         let newest = self.version();
         let stale: Vec<u64> = self
@@ -152,13 +153,13 @@
 
     fn others_use(&self, version: u64, members: &[HostId]) -> bool {
         members.iter().any(|member| {
-            let reached = self.reached.get(member).copied().unwrap_or(0);
+            let reached = self.reached_versions.get(member).copied().unwrap_or(0);
             *member != self.host && !self.gone.contains(member) && reached <= version
         })
     }
 }
 
-/// The order in which members are dealt the slots of a server.
+/// Returns the order in which the slots of a server are assigned to the members.
 fn holder_order<'a>(members: &'a [HostId], server: &ServerId) -> Vec<&'a HostId> {
     let mut order: Vec<&HostId> = members.iter().collect();
     order.sort_by_key(|member| {
@@ -168,7 +169,7 @@
     order
 }
 
-/// The member that is dealt a slot: each gets one before any gets a second.
+/// Returns the member that a slot is assigned to, round-robin in `order`; `None` without members.
 fn holder<'a>(order: &[&'a HostId], slot: u32) -> Option<&'a HostId> {
     if order.is_empty() {
         return None;
--- a/crates/route/tests/shares.rs
+++ b/crates/route/tests/shares.rs
@@ -1,4 +1,4 @@
-//! The sum of the hosts' shares never passes a server's slots, whatever order news arrives in.
+//! The sum of the hosts' shares never exceeds a server's slots, in whatever order the hosts learn of views and failures.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,14 @@
 const SLOTS: u32 = 8;
 const SERVERS: usize = 6;
 
-/// Entry hosts, the view's row, and hosts that have died but are not listed as gone yet.
+/// The running entry hosts, the stored membership view, and the hosts that have stopped.
+///
+/// Each running host learns at a random time that a stopped host is gone.
 struct ShareWorld {
     hosts: BTreeMap<HostId, SlotShare>,
-    dead: Vec<HostId>,
+    stopped: Vec<HostId>,
     row: MembershipView,
-    source: ChaCha8Rng,
+    rng: ChaCha8Rng,
     names: u32,
     seed: u64,
 }
@@ -25,32 +27,32 @@
     fn new(seed: u64) -> Self {
         Self {
             hosts: BTreeMap::new(),
-            dead: Vec::new(),
+            stopped: Vec::new(),
             row: MembershipView::default(),
-            source: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             names: 0,
             seed,
         }
     }
 
-    fn pick(&mut self) -> Option<HostId> {
+    fn random_host(&mut self) -> Option<HostId> {
         let hosts: Vec<HostId> = self.hosts.keys().cloned().collect();
         if hosts.is_empty() {
             return None;
         }
-        let position = self.source.random_range(0..hosts.len());
+        let position = self.rng.random_range(0..hosts.len());
         Some(hosts[position].clone())
     }
 
     fn step(&mut self) {
-        match self.source.random_range(0..100) {
+        match self.rng.random_range(0..100) {
             0..6 if self.hosts.len() < 9 => self.join(),
-            6..9 => self.die(),
+            6..9 => self.crash(),
             9..12 => self.leave(),
             12..40 => self.read_row(),
-            40..85 => self.tell(),
+            40..85 => self.report_version(),
             85..95 => self.list_gone(),
-            _ => self.rewrite(),
+            _ => self.write_view(),
         }
     }
 
@@ -62,9 +64,11 @@
         self.hosts.insert(host, share);
     }
 
-    /// Writes a view with this host in it and those that it knows to be gone out of it.
-    fn rewrite(&mut self) {
-        let Some(host) = self.pick() else { return };
+    /// A random host writes a view that includes itself and excludes the hosts that it knows to be gone.
+    fn write_view(&mut self) {
+        let Some(host) = self.random_host() else {
+            return;
+        };
         let share = &self.hosts[&host];
         if share.version() != self.row.version {
             return;
@@ -80,19 +84,21 @@
         }
     }
 
-    fn die(&mut self) {
+    fn crash(&mut self) {
         if self.hosts.len() < 3 {
             return;
         }
-        if let Some(host) = self.pick() {
+        if let Some(host) = self.random_host() {
             self.hosts.remove(&host);
-            self.dead.push(host);
+            self.stopped.push(host);
         }
     }
 
-    /// A planned stop: the host writes itself out and uses nothing from then on.
+    /// A planned stop: the host writes a view without itself and uses no slot from then on.
     fn leave(&mut self) {
-        let Some(host) = self.pick() else { return };
+        let Some(host) = self.random_host() else {
+            return;
+        };
         let share = &self.hosts[&host];
         if self.hosts.len() < 3 || share.version() != self.row.version {
             return;
@@ -100,11 +106,11 @@
         let members = self.row.members.iter().filter(|member| **member != host);
         self.row = share.next_view(members.cloned().collect());
         self.hosts.remove(&host);
-        self.dead.push(host);
+        self.stopped.push(host);
     }
 
     fn read_row(&mut self) {
-        if let Some(host) = self.pick() {
+        if let Some(host) = self.random_host() {
             let row = self.row.clone();
             if let Some(share) = self.hosts.get_mut(&host) {
                 share.note_view(&row);
@@ -112,9 +118,9 @@
         }
     }
 
-    /// One host hears which view another uses.
-    fn tell(&mut self) {
-        let (Some(from), Some(to)) = (self.pick(), self.pick()) else {
+    /// One host receives the version of the view that another uses.
+    fn report_version(&mut self) {
+        let (Some(from), Some(to)) = (self.random_host(), self.random_host()) else {
             return;
         };
         let version = self.hosts[&from].version();
@@ -123,14 +129,14 @@
         }
     }
 
-    /// The platform lists a dead host as gone; one host hears of it.
+    /// The platform lists a stopped host as gone; one host reads that.
     fn list_gone(&mut self) {
-        if self.dead.is_empty() {
+        if self.stopped.is_empty() {
             return;
         }
-        let position = self.source.random_range(0..self.dead.len());
-        let gone = self.dead[position].clone();
-        if let Some(host) = self.pick() {
+        let position = self.rng.random_range(0..self.stopped.len());
+        let gone = self.stopped[position].clone();
+        if let Some(host) = self.random_host() {
             if let Some(share) = self.hosts.get_mut(&host) {
                 share.note_gone(&gone);
                 share.prune();
@@ -154,14 +160,14 @@
         }
     }
 
-    /// Lets all news arrive everywhere.
-    fn settle(&mut self) {
+    /// Delivers all views, versions and failures to all hosts.
+    fn deliver_all(&mut self) {
         for _ in 0..40 {
             for host in self.hosts.keys().cloned().collect::<Vec<_>>() {
                 let row = self.row.clone();
-                let share = self.hosts.get_mut(&host).expect("it is there");
+                let share = self.hosts.get_mut(&host).expect("the host is running");
                 share.note_view(&row);
-                self.dead.iter().for_each(|gone| {
+                self.stopped.iter().for_each(|gone| {
                     share.note_gone(gone);
                 });
                 let versions: Vec<(HostId, u64)> = self
@@ -169,39 +175,39 @@
                     .iter()
                     .map(|(host, share)| (host.clone(), share.version()))
                     .collect();
-                let share = self.hosts.get_mut(&host).expect("it is there");
+                let share = self.hosts.get_mut(&host).expect("the host is running");
                 for (other, version) in versions {
                     share.note_reached(&other, version);
                 }
                 share.prune();
             }
-            self.rewrite();
+            self.write_view();
         }
     }
 }
 
-fn never_over_the_sum(seeds: u64, steps: usize) {
+fn shares_never_exceed_slots(seeds: u64, steps: usize) {
     for seed in 0..seeds {
         let mut world = ShareWorld::new(seed);
         world.join();
-        world.rewrite();
+        world.write_view();
         for step in 0..steps {
             world.step();
             world.check(step);
         }
-        world.settle();
+        world.deliver_all();
         let server = ServerId::from("server-0");
         let shares = world.hosts.values();
         let sum: u32 = shares.map(|share| share.usable(&server, SLOTS)).sum();
         assert_eq!(
             sum, SLOTS,
-            "seed {seed}: slots lie idle after all news arrived"
+            "seed {seed}: slots are unused after all hosts have the newest view"
         );
     }
 }
 
-/// Shares of many servers are near even between hosts.
-fn near_even(hosts: usize) {
+/// The shares of many servers, summed per host, differ from an even share by less than 40 percent.
+fn shares_are_nearly_even(hosts: usize) {
     let names: Vec<HostId> = (0..hosts).map(|n| HostId::from(format!("h{n}"))).collect();
     let view = MembershipView {
         version: 1,
@@ -217,13 +223,13 @@
         let even = 65 * SLOTS / hosts as u32;
         assert!(
             sum > even * 6 / 10 && sum < even * 14 / 10,
-            "{name}: {sum} of {even}"
+            "{name}: {sum} slots, even share {even}"
         );
     }
 }
 
 cases! {
-    sum_holds_in_any_order_of_news => never_over_the_sum(40, 400);
-    six_hosts_share_evenly => near_even(6);
-    nine_hosts_share_evenly => near_even(9);
+    sum_holds_in_any_order_of_events => shares_never_exceed_slots(40, 400);
+    six_hosts_share_evenly => shares_are_nearly_even(6);
+    nine_hosts_share_evenly => shares_are_nearly_even(9);
 }
--- a/crates/route/tests/verdicts.rs
+++ b/crates/route/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Every request ends with one final action whose verdict is true, whatever its attempts come to.
+//! Every request ends with exactly one final action and a correct verdict, however its attempts end.
 
 use std::collections::BTreeMap;
 
@@ -31,22 +31,22 @@
         .collect()
 }
 
-/// What a request's attempts really came to.
+/// What actually happened to a request, to compare with the router's actions.
 #[derive(Debug, Default)]
 struct RequestTruth {
     repeatable: bool,
     may_have_run: u32,
     answered: bool,
-    finals: u32,
+    final_actions: u32,
 }
 
-/// Runs requests whose attempts end at random; the truth is kept beside the core.
+/// Runs requests whose attempts end at random, and records for each what happened to it.
 struct VerdictWorld {
     core: RouteCore,
     truths: BTreeMap<u64, RequestTruth>,
-    open: Vec<u64>,
+    in_flight: Vec<u64>,
     on_server: BTreeMap<ServerId, u32>,
-    place: BTreeMap<u64, ServerId>,
+    server_of: BTreeMap<u64, ServerId>,
     leaving: Vec<ServerId>,
     seed: u64,
 }
@@ -70,10 +70,10 @@
 
     fn dispatch(&mut self, request: u64, server: ServerId) {
         let seed = self.seed;
-        let truth = self.truths.get_mut(&request).expect("it arrived");
+        let truth = self.truths.get_mut(&request).expect("the request arrived");
         assert_eq!(
-            truth.finals, 0,
-            "seed {seed}: sent on after its final answer"
+            truth.final_actions, 0,
+            "seed {seed}: dispatched after its final action"
         );
         let again = truth.may_have_run > 0 && !truth.repeatable;
         assert!(!again, "seed {seed}: {request} may run twice");
@@ -84,46 +84,52 @@
         let load = self.on_server.entry(server.clone()).or_default();
         *load += 1;
         assert!(*load <= 8, "seed {seed}: {server} has {load} of 8");
-        self.place.insert(request, server);
-        self.open.push(request);
+        self.server_of.insert(request, server);
+        self.in_flight.push(request);
     }
 
     fn deliver(&mut self, request: u64) {
-        let truth = self.truths.get_mut(&request).expect("it arrived");
-        truth.finals += 1;
+        let truth = self.truths.get_mut(&request).expect("the request arrived");
+        truth.final_actions += 1;
         assert!(truth.answered, "seed {}: no answer to deliver", self.seed);
     }
 
     fn give_up(&mut self, request: u64, verdict: RunVerdict, retry_after: Option<Millis>) {
         let seed = self.seed;
-        let truth = self.truths.get_mut(&request).expect("it arrived");
-        truth.finals += 1;
+        let truth = self.truths.get_mut(&request).expect("the request arrived");
+        truth.final_actions += 1;
         match verdict {
             RunVerdict::NotRun => {
                 assert_eq!(truth.may_have_run, 0, "seed {seed}: {request} may have run");
                 assert!(
                     retry_after.is_some(),
-                    "seed {seed}: not run, but when to come back?"
+                    "seed {seed}: not run, but no retry_after given"
                 );
             }
             RunVerdict::MayHaveRun => {
                 assert!(truth.may_have_run > 0, "seed {seed}: {request} did not run");
                 assert_eq!(retry_after.is_some(), truth.repeatable);
             }
-            RunVerdict::Ran => panic!("a request given up on has no whole answer"),
+            RunVerdict::Ran => panic!("a request that is given up has no complete answer"),
         }
     }
 
-    fn end_one(&mut self, now: Millis, source: &mut ChaCha8Rng) {
-        if self.open.is_empty() {
+    fn end_one(&mut self, now: Millis, rng: &mut ChaCha8Rng) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let position = source.random_range(0..self.open.len());
-        let request = self.open.swap_remove(position);
-        let server = self.place.remove(&request).expect("it was sent on");
-        *self.on_server.get_mut(&server).expect("it has load") -= 1;
-        let truth = self.truths.get_mut(&request).expect("it arrived");
-        let end = match source.random_range(0..10) {
+        let position = rng.random_range(0..self.in_flight.len());
+        let request = self.in_flight.swap_remove(position);
+        let server = self
+            .server_of
+            .remove(&request)
+            .expect("the request was dispatched");
+        *self
+            .on_server
+            .get_mut(&server)
+            .expect("the server has requests in flight") -= 1;
+        let truth = self.truths.get_mut(&request).expect("the request arrived");
+        let end = match rng.random_range(0..10) {
             0..4 => {
                 truth.answered = true;
                 AttemptEnd::Answered { latency_ms: 10 }
@@ -145,7 +151,7 @@
 
 fn random_ends(seeds: u64) {
     for seed in 0..seeds {
-        let mut source = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let limits = RouteLimits {
             queue: 20,
             ..RouteLimits::default()
@@ -153,19 +159,19 @@
         let mut world = VerdictWorld {
             core: core(limits, seed),
             truths: BTreeMap::new(),
-            open: Vec::new(),
+            in_flight: Vec::new(),
             on_server: BTreeMap::new(),
-            place: BTreeMap::new(),
+            server_of: BTreeMap::new(),
             leaving: Vec::new(),
             seed,
         };
         world.core.handle(0, RouteEvent::ServersListed(servers(12)));
         let mut now = 1;
         for number in 0..600 {
-            now += source.random_range(0..3);
+            now += rng.random_range(0..3);
             let info = RequestInfo {
-                repeatable: source.random_range(0..2) == 0,
-                ..RequestInfo::plain(number, "pricing", now + source.random_range(1..200))
+                repeatable: rng.random_range(0..2) == 0,
+                ..RequestInfo::plain(number, "pricing", now + rng.random_range(1..200))
             };
             let truth = RequestTruth {
                 repeatable: info.repeatable,
@@ -174,29 +180,32 @@
             world.truths.insert(number, truth);
             let actions = world.core.handle(now, RouteEvent::Arrived(info));
             world.act(actions);
-            for _ in 0..source.random_range(0..3) {
-                world.end_one(now, &mut source);
+            for _ in 0..rng.random_range(0..3) {
+                world.end_one(now, &mut rng);
             }
-            // An older list still calls the leaving servers live.
+            // An outdated list still contains the leaving servers as live.
             world
                 .core
                 .handle(now, RouteEvent::ServersListed(servers(12)));
             let actions = world.core.handle(now, RouteEvent::Tick);
             world.act(actions);
         }
-        while !world.open.is_empty() {
+        while !world.in_flight.is_empty() {
             now += 1;
-            world.end_one(now, &mut source);
+            world.end_one(now, &mut rng);
         }
         let actions = world.core.handle(now + 10_000, RouteEvent::Tick);
         world.act(actions);
-        let wrong = world.truths.iter().find(|(_, truth)| truth.finals != 1);
+        let wrong = world
+            .truths
+            .iter()
+            .find(|(_, truth)| truth.final_actions != 1);
         assert!(wrong.is_none(), "seed {seed}: {wrong:?}");
     }
 }
 
 /// A request whose first attempt may have run and whose second was refused may still have run.
-fn refusal_after_an_unknown_end() {
+fn refusal_after_attempt_that_may_have_run() {
     let mut core = core(RouteLimits::default(), 1);
     core.handle(0, RouteEvent::ServersListed(servers(8)));
     core.handle(
@@ -215,12 +224,12 @@
     assert_eq!(verdict, RunVerdict::MayHaveRun);
 }
 
-/// A leaving server is sent nothing more, whoever says that it leaves and whatever older lists say.
-fn leaving_never_turns_back(word: fn(&ServerId) -> RouteEvent) {
+/// A leaving server gets no more requests, whoever reported that it leaves and whatever outdated lists contain.
+fn leaving_server_gets_no_requests(leaving_event: fn(&ServerId) -> RouteEvent) {
     let mut core = core(RouteLimits::default(), 3);
     core.handle(0, RouteEvent::ServersListed(servers(1)));
     let server = ServerId::from("server-0");
-    core.handle(1, word(&server));
+    core.handle(1, leaving_event(&server));
     core.handle(2, RouteEvent::ServersListed(servers(1)));
     let request = RequestInfo::plain(1, "pricing", 50);
     let actions = core.handle(3, RouteEvent::Arrived(request));
@@ -229,13 +238,13 @@
     assert_eq!(core.leaving(), vec![server]);
 }
 
-fn list_says_leaving(server: &ServerId) -> RouteEvent {
+fn listed_as_leaving(server: &ServerId) -> RouteEvent {
     let mut entry = ServerEntry::plain(server.as_str(), "pricing", "north");
     entry.state = ServerState::Leaving;
     RouteEvent::ServersListed(vec![entry])
 }
 
-/// A request that can't be served in time is refused at once, with the time that its class's queue needs.
+/// A request that can't be answered in time is refused at once, with the expected wait of its class as `retry_after`.
 fn early_refusal() {
     let limits = RouteLimits {
         queue: 1_000,
@@ -257,8 +266,8 @@
     assert!((8..60).contains(&refused_at), "{refused_at}");
 }
 
-/// A flood of one class leaves another its turn.
-fn flood_leaves_others_their_turn() {
+/// A flood of requests of one class does not block requests of another class.
+fn flood_does_not_block_other_classes() {
     let mut core = core(RouteLimits::default(), 7);
     let mut entries = servers(1);
     entries.push(ServerEntry::plain("other-0", "search", "north"));
@@ -277,7 +286,7 @@
     );
 }
 
-/// Sends requests of which every attempt is refused.
+/// Sends requests whose attempts are all refused by the servers.
 fn refuse_all(core: &mut RouteCore, requests: u64) {
     for request in 0..requests {
         let info = RequestInfo::plain(request, "pricing", 10_000);
@@ -289,8 +298,8 @@
     }
 }
 
-/// Failing servers are taken out of the choice, but never more than the cap.
-fn ejection_is_capped() {
+/// Failing servers are ejected, but never more than the limit of 30 percent.
+fn ejection_stays_within_limit() {
     let mut core = core(RouteLimits::default(), 9);
     core.handle(0, RouteEvent::ServersListed(servers(10)));
     refuse_all(&mut core, 400);
@@ -302,7 +311,7 @@
     assert!((1..=3).contains(&ejected), "{ejected} of 10 are ejected");
 }
 
-/// Retries stay within their budget however many attempts fail.
+/// Retries stay within their budget, however many attempts fail.
 fn retries_stay_in_budget() {
     let mut core = core(RouteLimits::default(), 11);
     core.handle(0, RouteEvent::ServersListed(servers(40)));
@@ -311,7 +320,7 @@
     assert!(retries <= 120, "{retries} retries for 1,000 requests");
 }
 
-/// The class of a request decides, not its number.
+/// A request of a class without servers is refused.
 fn unknown_class_is_refused() {
     let mut core = core(RouteLimits::default(), 13);
     let mut info = RequestInfo::plain(1, "pricing", 10);
@@ -327,13 +336,13 @@
 }
 
 cases! {
-    verdicts_are_true_for_random_ends => random_ends(40);
-    refusal_after_unknown_stays_unknown => refusal_after_an_unknown_end();
-    leaving_by_the_list => leaving_never_turns_back(list_says_leaving);
-    leaving_by_a_peer => leaving_never_turns_back(|server| RouteEvent::ServersLeaving(vec![server.clone()]));
+    verdicts_are_correct_for_random_ends => random_ends(40);
+    refusal_after_may_have_run_keeps_verdict => refusal_after_attempt_that_may_have_run();
+    leaving_by_the_list => leaving_server_gets_no_requests(listed_as_leaving);
+    leaving_by_a_peer => leaving_server_gets_no_requests(|server| RouteEvent::ServersLeaving(vec![server.clone()]));
     late_requests_are_refused_early => early_refusal();
-    flood_of_one_class => flood_leaves_others_their_turn();
-    ejection_has_a_cap => ejection_is_capped();
+    flood_of_one_class => flood_does_not_block_other_classes();
+    ejection_is_limited => ejection_stays_within_limit();
     retry_budget_holds => retries_stay_in_budget();
     class_without_servers => unknown_class_is_refused();
 }
