--- a/crates/route/tests/shares.rs
+++ b/crates/route/tests/shares.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    fn random_host(&mut self) -> Option<HostId> {
+    fn pick_host(&mut self) -> Option<HostId> {
         let hosts: Vec<HostId> = self.hosts.keys().cloned().collect();
         if hosts.is_empty() {
             return None;
@@ -66,7 +66,7 @@
 
     /// A random host writes a view that includes itself and excludes the hosts that it knows to be gone.
     fn write_view(&mut self) {
-        let Some(host) = self.random_host() else {
+        let Some(host) = self.pick_host() else {
             return;
         };
         let share = &self.hosts[&host];
@@ -88,7 +88,7 @@
         if self.hosts.len() < 3 {
             return;
         }
-        if let Some(host) = self.random_host() {
+        if let Some(host) = self.pick_host() {
             self.hosts.remove(&host);
             self.stopped.push(host);
         }
@@ -96,7 +96,7 @@
 
     /// A planned stop: the host writes a view without itself and uses no slot from then on.
     fn leave(&mut self) {
-        let Some(host) = self.random_host() else {
+        let Some(host) = self.pick_host() else {
             return;
         };
         let share = &self.hosts[&host];
@@ -110,7 +110,7 @@
     }
 
     fn read_row(&mut self) {
-        if let Some(host) = self.random_host() {
+        if let Some(host) = self.pick_host() {
             let row = self.row.clone();
             if let Some(share) = self.hosts.get_mut(&host) {
                 share.note_view(&row);
@@ -120,7 +120,7 @@
 
     /// One host receives the version of the view that another uses.
     fn report_version(&mut self) {
-        let (Some(from), Some(to)) = (self.random_host(), self.random_host()) else {
+        let (Some(from), Some(to)) = (self.pick_host(), self.pick_host()) else {
             return;
         };
         let version = self.hosts[&from].version();
@@ -136,7 +136,7 @@
         }
         let position = self.rng.random_range(0..self.stopped.len());
         let gone = self.stopped[position].clone();
-        if let Some(host) = self.random_host() {
+        if let Some(host) = self.pick_host() {
             if let Some(share) = self.hosts.get_mut(&host) {
                 share.note_gone(&gone);
                 share.prune();
