--- a/crates/place/src/pool/choose.rs
+++ b/crates/place/src/pool/choose.rs
@@ -105,7 +105,8 @@
             .sum()
     }
 
-    /// Returns the cost of placing a task on a worker: weighted predicted slowdown plus weighted leftover capacity. Lower is better.
+    /// Returns the cost of placing a task on a worker: weighted predicted slowdown plus weighted leftover capacity; lower is
+    /// better.
     fn score(&self, position: usize, need: &TaskNeed) -> f64 {
         let worker = &self.workers[position];
         let interference_cost = self.weights.tail * self.predict(position, need);
--- a/crates/route/src/core.rs
+++ b/crates/route/src/core.rs
@@ -122,7 +122,8 @@
 
     fn record_listed_servers(&mut self, now: Millis, entries: &[ServerEntry]) {
         for entry in entries {
-            // The share of a known server changes only with a view, a gone host or the number of slots, which recompute all shares.
+            // The share of a known server changes only with views, reported view versions, gone hosts or the number of slots;
+            // each of these events recomputes all shares.
             if self.fleet.upsert(now, entry) {
                 let share = self.share.usable(&entry.server, self.limits.slots);
                 if let Some(load) = self.fleet.get_mut(&entry.server) {
@@ -171,7 +172,8 @@
         self.enqueue_or_refuse(now, info, actions);
     }
 
-    /// Queues a request if it is expected to be answered before its deadline and the queue has space; otherwise gives it up at once.
+    /// Queues a request if it is expected to be answered before its deadline and the queue has space; otherwise gives it up
+    /// at once.
     fn enqueue_or_refuse(
         &mut self,
         now: Millis,
@@ -311,7 +313,8 @@
         });
     }
 
-    /// Retries a request if the verdict, the number of attempts, the deadline and the retry budget allow it; otherwise gives it up.
+    /// Retries a request if the verdict, the number of attempts, the deadline and the retry budget allow it; otherwise
+    /// gives it up.
     fn retry(
         &mut self,
         now: Millis,
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -103,7 +103,8 @@
         self.reached_versions.get(holder).copied().unwrap_or(0) <= version
     }
 
-    /// Returns the view to write when the members change to `members`. It lists the known views that some host may still be using.
+    /// Returns the view to write when the members change to `members`. It lists the known views that some host may still be
+    /// using.
     pub fn next_view(&self, members: Vec<HostId>) -> MembershipView {
         let earlier = self
             .views
--- a/crates/route/tests/shares.rs
+++ b/crates/route/tests/shares.rs
@@ -66,9 +66,7 @@
 
     /// A random host writes a view that includes itself and excludes the hosts that it knows to be gone.
     fn write_view(&mut self) {
-        let Some(host) = self.pick_host() else {
-            return;
-        };
+        let Some(host) = self.pick_host() else { return };
         let share = &self.hosts[&host];
         if share.version() != self.row.version {
             return;
@@ -96,9 +94,7 @@
 
     /// A planned stop: the host writes a view without itself and uses no slot from then on.
     fn leave(&mut self) {
-        let Some(host) = self.pick_host() else {
-            return;
-        };
+        let Some(host) = self.pick_host() else { return };
         let share = &self.hosts[&host];
         if self.hosts.len() < 3 || share.version() != self.row.version {
             return;
