--- a/crates/place/tests/pool.rs
+++ b/crates/place/tests/pool.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn tenant(index: u32, size: ResourceSize, family: &str) -> TaskReservation {
+fn reservation(index: u32, size: ResourceSize, family: &str) -> TaskReservation {
     TaskReservation {
         attempt: attempt(index),
         size,
@@ -70,7 +70,7 @@
                     let size = ResourceSize::new(cpu, memory, 0);
                     if let PlaceOutcome::Placed(choice) = pool.choose(&TaskNeed::plain(size, "f"), 1) {
                         let index = index as u32;
-                        prop_assert!(pool.reserve(&choice.worker, tenant(index, size, "f")).is_ok());
+                        prop_assert!(pool.reserve(&choice.worker, reservation(index, size, "f")).is_ok());
                         prop_assert!(!pool.is_overcommitted(&choice.worker));
                         placed.push((choice.worker, index));
                     }
@@ -171,7 +171,7 @@
         estimate.learn(&sample, round);
     }
     let size = ResourceSize::new(1, 1, 0);
-    let tenants = [tenant(1, size, "loud"), tenant(2, size, "quiet")];
+    let reservations = [reservation(1, size, "loud"), reservation(2, size, "quiet")];
     let worker = WorkerId::from("w-1");
     let mut actions = Vec::new();
     for second in 0..600_u64 {
@@ -180,7 +180,7 @@
             service: &service,
             slowdown: 2.0,
             band: LoadBand::Peak,
-            reservations: &tenants,
+            reservations: &reservations,
         };
         actions.extend(gauge.judge(&input, &estimate, second * 1_000));
     }
--- a/crates/route/tests/shares.rs
+++ b/crates/route/tests/shares.rs
@@ -19,7 +19,7 @@
     stopped: Vec<HostId>,
     row: MembershipView,
     rng: ChaCha8Rng,
-    names: u32,
+    started_hosts: u32,
     seed: u64,
 }
 
@@ -30,7 +30,7 @@
             stopped: Vec::new(),
             row: MembershipView::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            names: 0,
+            started_hosts: 0,
             seed,
         }
     }
@@ -57,8 +57,8 @@
     }
 
     fn join(&mut self) {
-        self.names += 1;
-        let host = HostId::from(format!("host-{}", self.names));
+        self.started_hosts += 1;
+        let host = HostId::from(format!("host-{}", self.started_hosts));
         let mut share = SlotShare::new(host.clone());
         share.note_view(&self.row);
         self.hosts.insert(host, share);
