--- a/crates/bench/src/sim/happenings.rs
+++ b/crates/bench/src/sim/happenings.rs
@@ -2,8 +2,8 @@
 
 use sandshelf_config::UrgencyLevel;
 use sandshelf_model::{JobId, Millis, ServerId, WorkerId};
-use sandshelf_place::{LoadBand, PairSample};
-use sandshelf_route::{RouteEvent, SlotView};
+use sandshelf_place::{LoadBand, SlowdownSample};
+use sandshelf_route::{MembershipView, RouteEvent};
 
 use super::{
     family_of, host_id, server_id, server_number, FleetSim, SimEnd, SimEvent, SimServer, HOSTS,
@@ -118,7 +118,7 @@
         for host in 1..HOSTS {
             let event = RouteEvent::HostsGone(vec![gone.clone()]);
             self.hosts[host].handle(now, event);
-            let view = SlotView {
+            let view = MembershipView {
                 version: 2,
                 members: (1..HOSTS).map(host_id).collect(),
                 earlier: Vec::new(),
@@ -127,7 +127,7 @@
         }
         for teller in 1..HOSTS {
             for host in 1..HOSTS {
-                let event = RouteEvent::ViewReached {
+                let event = RouteEvent::PeerViewReported {
                     host: host_id(teller),
                     version: 2,
                 };
@@ -165,7 +165,7 @@
             let band = LoadBand::of(window.utilisation(JUDGE_MS, SLOTS));
             let slowdown = self.meter.slowdown(&window, band, families.is_empty());
             let Some(slowdown) = slowdown else { continue };
-            let sample = PairSample {
+            let sample = SlowdownSample {
                 service: window.service.clone(),
                 families,
                 band,
@@ -180,7 +180,7 @@
         let late = std::mem::take(&mut self.late);
         let (due, waiting) = late.into_iter().partition(|(at, _, _)| *at <= now);
         self.late = waiting;
-        let due: Vec<(Millis, WorkerId, PairSample)> = due;
+        let due: Vec<(Millis, WorkerId, SlowdownSample)> = due;
         for (_, worker, sample) in due {
             self.batch.measure(now, &worker, sample);
         }
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -29,10 +29,10 @@
     pub fn verify_whole(&self) -> Result<(), String> {
         self.verify()?;
         for worker in self.pool.workers() {
-            let over = self.pool.overfull(worker);
+            let over = self.pool.is_overcommitted(worker);
             let ours = self
                 .pool
-                .tenants(worker)
+                .reservations(worker)
                 .iter()
                 .all(|tenant| self.held.contains_key(&tenant.attempt));
             if over && ours && !self.is_shrunk(worker) {
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -3,8 +3,8 @@
 use sandshelf_config::{JobSpec, UrgencyLevel};
 use sandshelf_model::{AttemptId, Millis, ResourceSize, ShardId, TaskId, WorkerId};
 use sandshelf_place::{
-    PairSample, PendingKey, PlaceChoice, PlaceOutcome, PressureAction, PressureInput, TaskNeed,
-    WorkerTenant,
+    PendingKey, PlaceChoice, PlaceOutcome, PressureAction, PressureInput, SlowdownSample, TaskNeed,
+    TaskReservation,
 };
 
 use crate::events::{PlacedReason, ShardRoom, WaitReason};
@@ -54,7 +54,7 @@
         }
         let mut looks = MOST_LOOKED_AT;
         let mut places = MOST_PLACED;
-        for key in self.queue.turn(&self.quotas) {
+        for key in self.queue.serving_order(&self.quotas) {
             self.place_list(now, &key, &mut looks, &mut places);
         }
     }
@@ -396,19 +396,19 @@
     }
 
     /// Learns from a late measurement, and throttles or evicts where the service is hurt.
-    pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &PairSample) {
+    pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &SlowdownSample) {
         self.pool.estimate.learn(sample, now);
         self.pool.set_band(worker, sample.band);
         if !self.lease.is_valid(now) {
             return;
         }
-        let tenants: Vec<WorkerTenant> = self.pool.tenants(worker).to_vec();
+        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
         let input = PressureInput {
             worker,
             service: &sample.service,
             slowdown: sample.slowdown,
             band: sample.band,
-            tenants: &tenants,
+            reservations: &tenants,
         };
         let action = self.gauge.judge(&input, &self.pool.estimate, now);
         let Some(contact) = self.contacts.get_mut(worker) else {
@@ -429,8 +429,12 @@
 }
 
 /// Describes an attempt's reservation.
-pub(crate) fn tenant_of(attempt: &AttemptId, spec: &JobSpec, size: ResourceSize) -> WorkerTenant {
-    WorkerTenant {
+pub(crate) fn tenant_of(
+    attempt: &AttemptId,
+    spec: &JobSpec,
+    size: ResourceSize,
+) -> TaskReservation {
+    TaskReservation {
         attempt: attempt.clone(),
         size,
         family: spec.family.clone(),
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,6 +1,6 @@
-//! Placement, interference estimates, quotas and quarantine as a sans-I/O library.
+//! Task placement, interference estimates, quotas and worker quarantine, without I/O.
 //!
-//! Time and the random source are passed in; nothing here opens a socket or reads a clock.
+//! Callers pass in the time and the random seed; this crate opens no socket and reads no clock.
 //!
 //! ```
 //! use sandshelf_model::{ResourceSize, WorkerId};
@@ -23,15 +23,15 @@
 mod quota;
 mod weights;
 
-pub use estimate::{LoadBand, PairEstimate, PairSample};
-pub use family::{FamilyPrior, FamilySeen};
+pub use estimate::{LoadBand, SlowdownEstimate, SlowdownSample};
+pub use family::{FamilyHistory, FamilyUsage};
 pub use meter::{LatencyWindow, SlowdownMeter};
 pub use pool::{
-    PlaceChoice, PlaceOutcome, PlaceStrategy, ReserveError, TaskNeed, WorkerEntry, WorkerPool,
-    WorkerTenant,
+    PlaceChoice, PlaceOutcome, PlaceStrategy, ReserveError, TaskNeed, TaskReservation, WorkerEntry,
+    WorkerPool,
 };
 pub use pressure::{PressureAction, PressureGauge, PressureInput, PressureStrategy};
-pub use quarantine::{QuarantineBook, QuarantineRule, WorkerHealth};
+pub use quarantine::{QuarantineRule, QuarantineTracker, WorkerHealth};
 pub use queue::{PendingKey, PendingQueue};
 pub use quota::QuotaLedger;
 pub use weights::PlaceWeights;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,13 +1,13 @@
-//! Routing, limits, retries and request verdicts as a sans-I/O library.
+//! Request routing, concurrency limits, retries and request verdicts, without I/O.
 //!
-//! A [`RouteCore`] is one entry host's router. It takes events with the time and returns actions;
-//! each request that arrives ends with exactly one final action.
+//! A [`RouteCore`] is the router of one entry host. It handles events, each with the current time, and returns actions.
+//! Each request that arrives ends with exactly one final action: its answer is delivered, or it is given up.
 //!
 //! ```
 //! use sandshelf_model::{HallId, HostId, ServiceId, ServerId};
 //! use sandshelf_route::{RequestInfo, RouteAction, RouteCore, RouteEvent, RouteLimits, ServerEntry};
 //! let mut core = RouteCore::new(HostId::from("entry-1.1"), HallId::from("north"), RouteLimits::default(), 7);
-//! core.handle(0, RouteEvent::ViewHeard { version: 1, members: vec![HostId::from("entry-1.1")] });
+//! core.handle(0, RouteEvent::FirstViewReceived { version: 1, members: vec![HostId::from("entry-1.1")] });
 //! core.handle(0, RouteEvent::ServersListed(vec![ServerEntry::plain("b-1", "pricing", "north")]));
 //! let request = RequestInfo::plain(1, "pricing", 1_000);
 //! let actions = core.handle(0, RouteEvent::Arrived(request));
@@ -30,4 +30,4 @@
 pub use fleet::{ServerEntry, ServerFleet, ServerLoad, ServerState};
 pub use queue::{ClassQueue, QueuedRequest};
 pub use retry::RetryBudget;
-pub use share::{SlotShare, SlotView};
+pub use share::{MembershipView, SlotShare};
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -4,7 +4,7 @@
 
 use sandshelf_lease::{LeaseStage, ShardEvent, ShardOwner, ShardRoom};
 use sandshelf_model::{Millis, ServiceId, ShardId, WorkerId};
-use sandshelf_place::{LatencyWindow, LoadBand, PairSample};
+use sandshelf_place::{LatencyWindow, LoadBand, SlowdownSample};
 use sandshelf_platform::{HostKind, HostState};
 use sandshelf_route::ServerState;
 
@@ -75,14 +75,14 @@
         let Some(owner) = owner else { return };
         let shard = owner.shard().clone();
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
-        for tenant in owner.pool().tenants(&window.worker) {
+        for tenant in owner.pool().reservations(&window.worker) {
             *families.entry(tenant.family.clone()).or_default() += 1;
         }
         let slots = self.config.set().map_or(1, |set| set.backends.slots);
         let band = LoadBand::of(window.utilisation(JUDGE_EVERY_MS, slots));
         let slowdown = self.meter.slowdown(window, band, families.is_empty());
         let Some(slowdown) = slowdown else { return };
-        let sample = PairSample {
+        let sample = SlowdownSample {
             service: window.service.clone(),
             families: families.into_iter().collect(),
             band,
@@ -189,7 +189,7 @@
         free: owner.pool().free(worker).unwrap_or_default(),
         attempts: owner
             .pool()
-            .tenants(worker)
+            .reservations(worker)
             .iter()
             .map(|tenant| tenant.attempt.to_string())
             .collect(),
