--- a/crates/emulator/src/host/takeover.rs
+++ b/crates/emulator/src/host/takeover.rs
@@ -87,7 +87,7 @@
                     rules_since: 1,
                     roster: shard.roster,
                     silent: shard.silent,
-                    strengths: shard.strengths,
+                    interference: shard.strengths,
                     store_ms,
                     ..TakeoverInfo::default()
                 };
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -138,7 +138,7 @@
         .silent
         .as_ref()
         .map_or(0, |marks| row(6, encoded(marks)));
-    let strengths = batch.strengths.as_ref();
+    let strengths = batch.interference.as_ref();
     roster + silent + strengths.map_or(0, |learnt| row(9, encoded(learnt)))
 }
 
--- a/crates/emulator/src/store/mod.rs
+++ b/crates/emulator/src/store/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use sandshelf_jobs::{
-    CommitBatch, JobNumber, JobSpec, ProgressRow, SilentWorkers, StrengthRow, WorkerListing,
+    CommitBatch, InterferenceRow, JobNumber, JobSpec, ProgressRow, SilentWorkers, WorkerListing,
     WorkerRoster,
 };
 use sandshelf_lease::{RowVersion, ShardRow, StoredRow};
@@ -39,7 +39,7 @@
     /// The marks of silent ones.
     pub silent: SilentWorkers,
     /// What is learnt of images.
-    pub strengths: StrengthRow,
+    pub strengths: InterferenceRow,
     /// Their bytes as rows.
     bytes: [u64; 3],
 }
@@ -261,10 +261,10 @@
                 ..CommitBatch::default()
             });
         }
-        if let Some(strengths) = &batch.strengths {
+        if let Some(strengths) = &batch.interference {
             self.shard.strengths = strengths.clone();
             self.shard.bytes[2] = written(CommitBatch {
-                strengths: Some(strengths.clone()),
+                interference: Some(strengths.clone()),
                 ..CommitBatch::default()
             });
         }
--- a/crates/jobs/src/strain.rs
+++ b/crates/jobs/src/backlog.rs
@@ -50,7 +50,7 @@
 
 /// How far an owner is behind.
 #[derive(Clone, Debug)]
-pub(crate) struct WorkStrain {
+pub(crate) struct BacklogMonitor {
     /// By how much what can wait is stretched, in percent.
     stretch: u64,
     judged_at: Millis,
@@ -61,7 +61,7 @@
     late_ms: Millis,
 }
 
-impl Default for WorkStrain {
+impl Default for BacklogMonitor {
     fn default() -> Self {
         Self {
             stretch: NO_STRETCH,
@@ -75,7 +75,7 @@
     }
 }
 
-impl WorkStrain {
+impl BacklogMonitor {
     /// Notes a worker's answer that came so long after the wait that was asked for.
     pub(crate) fn note_answer(&mut self, late_ms: Millis) {
         self.answers += 1;
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -6,10 +6,10 @@
 
 use crate::events::{CommitBatch, JobAction};
 use crate::ids::JobNumber;
+use crate::interference::InterferenceRow;
 use crate::limits::{
     COMMIT_JOBS, COMMIT_PAUSE_MS, FORGET_AT_ONCE, PENDING_EVERY_MS, STRENGTHS_EVERY_MS,
 };
-use crate::press::StrengthRow;
 use crate::progress::ProgressRow;
 use crate::roster::WorkerRoster;
 use crate::scheduler::{JobScheduler, NotedEnds, PendingCommit};
@@ -66,12 +66,12 @@
             },
             crashed,
         });
-        let strengths = self.due_strengths(now);
+        let interference = self.due_strengths(now);
         self.out.push(JobAction::Commit(CommitBatch {
             id: self.commit_count,
             progress,
             pending,
-            strengths,
+            interference,
             forget,
             roster,
             silent,
@@ -79,12 +79,12 @@
     }
 
     /// What is learnt of images, where it was last written some time ago; it goes along with other writes.
-    fn due_strengths(&mut self, now: Millis) -> Option<StrengthRow> {
-        if now < self.strengths_at + STRENGTHS_EVERY_MS {
+    fn due_strengths(&mut self, now: Millis) -> Option<InterferenceRow> {
+        if now < self.interference_written_at + STRENGTHS_EVERY_MS {
             return None;
         }
-        self.strengths_at = now;
-        Some(self.press.to_row(&self.images)).filter(|row| !row.pairs.is_empty())
+        self.interference_written_at = now;
+        Some(self.interference.to_row(&self.images)).filter(|row| !row.pairs.is_empty())
     }
 
     /// Jobs that ended long ago, a few at a time; they stay known here until the write is asked for.
@@ -133,7 +133,7 @@
 
     /// Nothing waits to be written: all ends that were taken in may be acknowledged.
     fn acknowledge_all(&mut self, now: Millis) {
-        let gap = self.strain.hold_gap_ms();
+        let gap = self.backlog.hold_gap_ms();
         for ends in self.noted_ends() {
             if let Some(state) = self.workers.get_mut(&ends.worker) {
                 state.life.durable = ends.newest;
@@ -150,7 +150,7 @@
         self.note_marks_gone(now, id);
         self.lease_published |= commit.roster;
         self.release_noted(now, commit.crashed);
-        let gap = self.strain.hold_gap_ms();
+        let gap = self.backlog.hold_gap_ms();
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
             // Numbers of a life that is over say nothing of the one that has begun since.
--- a/crates/jobs/src/cost.rs
+++ b/crates/jobs/src/cost.rs
@@ -5,7 +5,7 @@
 use crate::crash::StartCaution;
 use crate::fill::{FillAsk, FillBoard};
 use crate::ids::TaskKey;
-use crate::press::PressEstimate;
+use crate::interference::InterferenceEstimate;
 use crate::spec::StepSpec;
 use crate::worker::WorkerState;
 
@@ -110,14 +110,14 @@
 /// What it costs beside that to place a filling task on a worker; none where it had better wait.
 pub(crate) fn fill_cost(
     board: &FillBoard,
-    press: &PressEstimate,
+    interference: &InterferenceEstimate,
     candidate: &Candidate<'_>,
 ) -> Option<f64> {
-    let share = board.foreseen_share(press, &candidate.fill);
+    let share = board.foreseen_share(interference, &candidate.fill);
     if board.has_filling() && !candidate.starving && share < LEAST_SHARE {
         return None;
     }
-    let mut cost = board.room_taken(press, &candidate.fill) * ROOM_TAKEN_WEIGHT;
+    let mut cost = board.room_taken(interference, &candidate.fill) * ROOM_TAKEN_WEIGHT;
     cost -= share * SERVING_ROOM_WEIGHT;
     if !board.has_serving() {
         cost += UNDISTURBED_COST;
--- a/crates/jobs/src/events.rs
+++ b/crates/jobs/src/events.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{JobNumber, RunKey};
+use crate::interference::InterferenceRow;
 use crate::note::JobNote;
-use crate::press::StrengthRow;
 use crate::progress::ProgressRow;
 use crate::reports::{HoldAnswer, OrderAnswer, WorkerClock, WorkerListing};
 use crate::roster::WorkerRoster;
@@ -117,7 +117,7 @@
     /// How many jobs of each queue wait, where that changed.
     pub pending: Option<BTreeMap<String, u64>>,
     /// What is learnt of images, from time to time.
-    pub strengths: Option<StrengthRow>,
+    pub interference: Option<InterferenceRow>,
     /// Jobs whose rows are no longer needed.
     pub forget: Vec<JobNumber>,
     /// The workers that may hold tasks, where that changed.
--- a/crates/jobs/src/fill.rs
+++ b/crates/jobs/src/fill.rs
@@ -9,8 +9,8 @@
 use crate::due::{DueTimes, EndWorth};
 use crate::ids::{RunKey, TaskKey};
 use crate::images::ImageId;
-use crate::press::{target_load, PressEstimate};
-use crate::swing::LoadBook;
+use crate::interference::{target_load, InterferenceEstimate};
+use crate::load_forecast::LoadHistory;
 use crate::worker::WorkerState;
 
 /// The share of its target load up to which a serving task may be loaded. 0.94 was measured to cost filling tasks as much as
@@ -39,7 +39,7 @@
 
 impl ServingRoom {
     /// What the tasks of a serving step leave until paces are looked at again.
-    fn of(step: &TaskKey, image: ImageId, loads: &LoadBook, now: Millis) -> Self {
+    fn of(step: &TaskKey, image: ImageId, loads: &LoadHistory, now: Millis) -> Self {
         let most = target_load() * LOAD_MARGIN;
         let allowed = |ahead: Millis| {
             let expected = loads.forecast(step, now + ahead);
@@ -123,8 +123,8 @@
     /// What a worker's tasks look like by now.
     pub(crate) fn new(
         worker: &WorkerState,
-        press: &PressEstimate,
-        loads: &LoadBook,
+        interference: &InterferenceEstimate,
+        loads: &LoadHistory,
         now: Millis,
     ) -> Self {
         let capacity = worker.entry.capacity.cpu_millis;
@@ -151,7 +151,7 @@
                 cpu_millis: record.full_use() as u64,
             };
             let left = LEAST_LEFT.max(1.0 - f64::from(record.percent) / 100.0);
-            let want = board.want(press, &ask, left);
+            let want = board.want(interference, &ask, left);
             board.wants.push(FillWant {
                 key: Some(*key),
                 ..want
@@ -163,11 +163,11 @@
     }
 
     /// What a filling task wants, with `left` of its work to do.
-    fn want(&self, press: &PressEstimate, ask: &FillAsk, left: f64) -> FillWant {
+    fn want(&self, interference: &InterferenceEstimate, ask: &FillAsk, left: f64) -> FillWant {
         let strengths = self
             .rooms
             .iter()
-            .map(|room| press.strength(room.image, ask.image));
+            .map(|room| interference.strength(room.image, ask.image));
         let load = ask.cpu_millis as f64 / self.capacity_cpu;
         FillWant {
             urgency: ask.urgency,
@@ -179,11 +179,11 @@
     }
 
     /// Deals what serving tasks leave: each filling task and its share.
-    pub(crate) fn deal(&self, press: &PressEstimate) -> Vec<(RunKey, f64)> {
+    pub(crate) fn deal(&self, interference: &InterferenceEstimate) -> Vec<(RunKey, f64)> {
         let mut rooms = self.rooms.clone();
         let mut shares = Vec::with_capacity(self.wants.len());
         for want in &self.wants {
-            let share = take_share(&mut rooms, want, press);
+            let share = take_share(&mut rooms, want, interference);
             shares.extend(want.key.map(|key| (key, share)));
         }
         shares
@@ -191,27 +191,27 @@
 
     /// The share at which one more filling task would work, by what serving tasks leave and by the processors that no
     /// ordinary task holds.
-    pub(crate) fn foreseen_share(&self, press: &PressEstimate, ask: &FillAsk) -> f64 {
-        let asked = self.want(press, ask, 1.0);
+    pub(crate) fn foreseen_share(&self, interference: &InterferenceEstimate, ask: &FillAsk) -> f64 {
+        let asked = self.want(interference, ask, 1.0);
         let mut rooms = self.rooms.clone();
         for want in &self.wants {
             // Of equal ones, such as tasks of the same step, those that are there go first.
             if asked.order(want).is_lt() {
                 break;
             }
-            take_share(&mut rooms, want, press);
+            take_share(&mut rooms, want, interference);
         }
-        let share = take_share(&mut rooms, &asked, press);
+        let share = take_share(&mut rooms, &asked, interference);
         let wanted = (self.filling_cpu + ask.cpu_millis).max(1) as f64;
         share.min(self.left_cpu / wanted)
     }
 
     /// What part of the room that the tightest serving task leaves one more filling task would take up; 1 where there is
     /// none.
-    pub(crate) fn room_taken(&self, press: &PressEstimate, ask: &FillAsk) -> f64 {
+    pub(crate) fn room_taken(&self, interference: &InterferenceEstimate, ask: &FillAsk) -> f64 {
         let load = ask.cpu_millis as f64 / self.capacity_cpu;
         let taken = self.rooms.iter().map(|room| {
-            let own = press.strength(room.image, ask.image) * load;
+            let own = interference.strength(room.image, ask.image) * load;
             own / room.allowed.max(own).max(f64::MIN_POSITIVE)
         });
         taken.fold(0.0, f64::max)
@@ -229,16 +229,20 @@
 }
 
 /// Gives a filling task its share of what is left of the rooms.
-fn take_share(rooms: &mut [ServingRoom], want: &FillWant, press: &PressEstimate) -> f64 {
+fn take_share(
+    rooms: &mut [ServingRoom],
+    want: &FillWant,
+    interference: &InterferenceEstimate,
+) -> f64 {
     let mut share: f64 = 1.0;
     for room in rooms.iter() {
-        let strength = press.strength(room.image, want.image);
+        let strength = interference.strength(room.image, want.image);
         if strength >= WEAK_STRENGTH {
             share = share.min(room.allowed / (strength * want.load).max(f64::MIN_POSITIVE));
         }
     }
     for room in rooms.iter_mut() {
-        let used = press.strength(room.image, want.image) * want.load * share;
+        let used = interference.strength(room.image, want.image) * want.load * share;
         room.allowed = (room.allowed - used).max(0.0);
     }
     share
--- a/crates/jobs/src/gauges.rs
+++ b/crates/jobs/src/gauges.rs
@@ -64,7 +64,7 @@
             open_workers: open.count(),
             workers: self.workers.len(),
             dirty: self.dirty.len(),
-            stretch: self.strain.stretch(),
+            stretch: self.backlog.stretch(),
             evacuated_halls: self.evacuated.len(),
             evacuated_runs: evacuated.map(|worker| worker.runs.len()).sum(),
             ..SchedulerCounts::default()
--- a/crates/jobs/src/guard.rs
+++ b/crates/jobs/src/guard.rs
@@ -67,7 +67,9 @@
             since.is_some_and(|since| now >= since + LEAVE_ALONE_MS)
         };
         let alone = state.runs.values().any(long_over);
-        let shares = state.board(&self.press, &self.loads, now).deal(&self.press);
+        let shares = state
+            .board(&self.interference, &self.loads, now)
+            .deal(&self.interference);
         let mut changed = Vec::new();
         for (key, share) in shares {
             let share = if alone { 0.0 } else { share };
@@ -105,7 +107,7 @@
 
     /// Moves filling tasks that have been slowed down for long to workers where they would work at nearly full pace.
     pub(crate) fn move_slowed(&mut self, now: Millis) {
-        if now < self.last_move + self.strain.pause_ms(MOVE_EVERY_MS) {
+        if now < self.last_move + self.backlog.pause_ms(MOVE_EVERY_MS) {
             return;
         }
         self.last_move = now;
@@ -149,8 +151,8 @@
             cpu_millis: record.cpu_millis,
         };
         let share_at = |target: &WorkerState| {
-            let board = target.board(&self.press, &self.loads, now);
-            board.foreseen_share(&self.press, &asked)
+            let board = target.board(&self.interference, &self.loads, now);
+            board.foreseen_share(&self.interference, &asked)
         };
         let better = self.workers.iter().find(|(id, target)| {
             target.entry.service == service
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -4,6 +4,7 @@
 
 use sandshelf_model::{Millis, WorkerId};
 
+use crate::backlog::BacklogMonitor;
 use crate::due::{DueTimes, TaskChain};
 use crate::events::{HoldCall, WorkerCall};
 use crate::ids::RunKey;
@@ -18,7 +19,6 @@
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 use crate::spec::StepSpec;
-use crate::strain::WorkStrain;
 use crate::worker::{LeaseMark, WorkerState};
 
 impl JobScheduler {
@@ -41,7 +41,7 @@
                 self.hold_at(&id, now + TICK_MS);
                 continue;
             }
-            let call = next_hold(worker, now, lease, &self.strain);
+            let call = next_hold(worker, now, lease, &self.backlog);
             worker.hold_sent = Some(now);
             worker.hold_wait = call.wait_ms;
             worker.hold_seen = call.last_seen;
@@ -83,10 +83,10 @@
                 // What the call took elsewhere says nothing of this owner.
                 let late = waited - state.hold_wait;
                 let own = late.saturating_sub(report.carrier_late_ms);
-                self.strain.note_answer(own);
+                self.backlog.note_answer(own);
             }
             HoldAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
-                self.strain.note_failure();
+                self.backlog.note_failure();
             }
             HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
         }
@@ -206,7 +206,7 @@
             return;
         };
         let gap = match state.mark {
-            LeaseMark::None => self.strain.hold_gap_ms(),
+            LeaseMark::None => self.backlog.hold_gap_ms(),
             LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
         };
         state.hold_gap = gap;
@@ -354,7 +354,7 @@
     worker: &WorkerState,
     now: Millis,
     lease: Option<Millis>,
-    strain: &WorkStrain,
+    backlog: &BacklogMonitor,
 ) -> HoldCall {
     let is_watched = |record: &RunRecord| record.target_ms > 0 || record.standing;
     let watched = worker.runs.values().any(is_watched);
@@ -366,9 +366,9 @@
     let wait_ms = if worker.life.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
-        strain.hold_wait_ms(HOLD_WAIT_MS)
+        backlog.hold_wait_ms(HOLD_WAIT_MS)
     } else {
-        strain.hold_wait_ms(IDLE_HOLD_WAIT_MS)
+        backlog.hold_wait_ms(IDLE_HOLD_WAIT_MS)
     };
     let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
     HoldCall {
--- a/crates/jobs/src/press.rs
+++ b/crates/jobs/src/interference.rs
@@ -28,11 +28,11 @@
 
 /// The processors that filling tasks use on a worker, by image, in shares of all it has.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FillLoads {
+pub(crate) struct InterferenceLoads {
     loads: Vec<(ImageId, f64)>,
 }
 
-impl FillLoads {
+impl InterferenceLoads {
     /// Whether nothing fills.
     pub(crate) fn is_empty(&self) -> bool {
         self.loads.is_empty()
@@ -48,14 +48,14 @@
 
 /// Learnt strengths in their durable form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StrengthRow {
+pub struct InterferenceRow {
     /// The pairs that were measured.
-    pub pairs: Vec<LearntPair>,
+    pub pairs: Vec<InterferencePair>,
 }
 
 /// One pair of images and how strongly the filling one disturbs the serving one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LearntPair {
+pub struct InterferencePair {
     /// The serving image.
     #[serde(rename = "s")]
     pub serving: String,
@@ -79,11 +79,11 @@
 /// Learnt strengths of pairs of images.
 ///
 /// Each reading corrects the strengths that bear on it by how uncertain each is (a Kalman filter whose covariances between
-/// them are left out). The load itself is known from elsewhere ([`crate::swing`]): corrected together with the
+/// them are left out). The load itself is known from elsewhere ([`crate::load_forecast`]): corrected together with the
 /// strengths, one task's reading at a time, its swings were taken for strengths, and most pairs, weak ones as well, ended
 /// at 8 to 10.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PressEstimate {
+pub(crate) struct InterferenceEstimate {
     /// By serving image, then by filling image; short rows and missing ones stand for pairs never seen.
     pairs: Vec<Vec<Option<PairStrength>>>,
     /// By filling image: what a pair of it that was never seen is taken to be. Kept, since a place is looked for with a
@@ -103,7 +103,7 @@
     1.0 - IDLE_SHARE
 }
 
-impl PressEstimate {
+impl InterferenceEstimate {
     fn pair(&self, serving: ImageId, filling: ImageId) -> PairStrength {
         let row = self.pairs.get(usize::from(serving.0));
         let pair = row.and_then(|row| row.get(usize::from(filling.0)));
@@ -151,7 +151,7 @@
     }
 
     /// What is learnt, by the names of images, to be handed to the next owner.
-    pub(crate) fn to_row(&self, images: &ImageTable) -> StrengthRow {
+    pub(crate) fn to_row(&self, images: &ImageTable) -> InterferenceRow {
         let names = images.names();
         let name = |index: usize| {
             let id = ImageId(u16::try_from(index).ok()?);
@@ -163,7 +163,7 @@
                 if let (Some(strength), Some(serving), Some(filling)) =
                     (strength, name(serving), name(filling))
                 {
-                    pairs.push(LearntPair {
+                    pairs.push(InterferencePair {
                         serving,
                         filling,
                         mean: strength.mean,
@@ -172,11 +172,11 @@
                 }
             }
         }
-        StrengthRow { pairs }
+        InterferenceRow { pairs }
     }
 
     /// Takes over what an earlier owner had learnt.
-    pub(crate) fn restore(&mut self, images: &mut ImageTable, row: &StrengthRow) {
+    pub(crate) fn restore(&mut self, images: &mut ImageTable, row: &InterferenceRow) {
         for pair in &row.pairs {
             let (serving, filling) = (images.intern(&pair.serving), images.intern(&pair.filling));
             *self.pair_mut(serving, filling) = PairStrength {
@@ -193,7 +193,7 @@
     }
 
     /// By how much, as a share, what fills raises a serving image's load.
-    pub(crate) fn pressure(&self, serving: ImageId, fills: &FillLoads) -> f64 {
+    pub(crate) fn pressure(&self, serving: ImageId, fills: &InterferenceLoads) -> f64 {
         let parts = fills.loads.iter();
         parts
             .map(|(image, load)| self.strength(serving, *image) * load)
@@ -201,7 +201,7 @@
     }
 
     /// How uncertain the pressure is, as a variance.
-    pub(crate) fn pressure_variance(&self, serving: ImageId, fills: &FillLoads) -> f64 {
+    pub(crate) fn pressure_variance(&self, serving: ImageId, fills: &InterferenceLoads) -> f64 {
         let parts = fills.loads.iter();
         parts
             .map(|(image, load)| self.pair(serving, *image).variance * load * load)
@@ -215,7 +215,7 @@
         serving: ImageId,
         raised_by: f64,
         variance: f64,
-        fills: &FillLoads,
+        fills: &InterferenceLoads,
     ) {
         let error = raised_by - self.pressure(serving, fills);
         let total = variance + self.pressure_variance(serving, fills);
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -95,11 +95,11 @@
 
 /// One repetition.
 #[derive(Clone, Debug)]
-pub(crate) struct TimeState {
+pub(crate) struct RepetitionState {
     pub(crate) steps: Vec<StepState>,
 }
 
-impl TimeState {
+impl RepetitionState {
     fn new(spec: &JobSpec) -> Self {
         let steps = spec.steps.iter().map(|step| StepState {
             tasks: vec![TaskState::new(); step.count as usize],
@@ -129,7 +129,7 @@
     pub(crate) stage: JobStage,
     /// When the job should be done, and when its end is of no use any more.
     pub(crate) due: DueTimes,
-    pub(crate) times: BTreeMap<u32, TimeState>,
+    pub(crate) times: BTreeMap<u32, RepetitionState>,
     pub(crate) times_done: u32,
     pub(crate) next_time: u32,
     /// Whether an earlier owner may have started tasks of it.
@@ -163,7 +163,7 @@
         self.times_done = row.times_done;
         self.next_time = row.times_done;
         for task in &row.tasks {
-            let fresh = || TimeState::new(&self.spec);
+            let fresh = || RepetitionState::new(&self.spec);
             let time = self.times.entry(task.time).or_insert_with(fresh);
             self.next_time = self.next_time.max(task.time + 1);
             let step = time.steps.get_mut(task.step as usize);
@@ -193,7 +193,7 @@
             if due.is_some_and(|due| due > wall_ms) {
                 return;
             }
-            let fresh = || TimeState::new(&self.spec);
+            let fresh = || RepetitionState::new(&self.spec);
             self.times.entry(self.next_time).or_insert_with(fresh);
             self.next_time += 1;
         }
@@ -235,7 +235,7 @@
         while self
             .times
             .get(&self.times_done)
-            .is_some_and(TimeState::is_done)
+            .is_some_and(RepetitionState::is_done)
         {
             self.times.remove(&self.times_done);
             self.times_done += 1;
--- a/crates/jobs/src/swing.rs
+++ b/crates/jobs/src/load_forecast.rs
@@ -11,8 +11,8 @@
 
 use sandshelf_model::Millis;
 
+use crate::backlog::BacklogMonitor;
 use crate::ids::TaskKey;
-use crate::strain::WorkStrain;
 
 /// Readings within this time are taken together.
 const BIN_MS: Millis = 500;
@@ -98,7 +98,7 @@
 
 /// The loads of all serving steps.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LoadBook {
+pub(crate) struct LoadHistory {
     steps: BTreeMap<TaskKey, StepLoad>,
     usual: UsualLoad,
     looked_at: Millis,
@@ -160,7 +160,7 @@
     }
 }
 
-impl LoadBook {
+impl LoadHistory {
     /// What the load of a step's tasks is expected to be at a time.
     pub(crate) fn forecast(&self, step: &TaskKey, at: Millis) -> LoadForecast {
         let step = self.steps.get(step);
@@ -183,8 +183,8 @@
     }
 
     /// Looks for the period from time to time, and forgets steps that are no more.
-    pub(crate) fn refresh(&mut self, now: Millis, strain: &WorkStrain) {
-        if now < self.looked_at + strain.pause_ms(LOOK_EVERY_MS) {
+    pub(crate) fn refresh(&mut self, now: Millis, backlog: &BacklogMonitor) {
+        if now < self.looked_at + backlog.pause_ms(LOOK_EVERY_MS) {
             return;
         }
         self.looked_at = now;
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -19,9 +19,9 @@
 impl JobScheduler {
     /// Starts waiting tasks on workers that have room, the most urgent first.
     pub(crate) fn place_waiting(&mut self, now: Millis) {
-        let pause = self.strain.pass_pause_ms(self.waiting.len());
+        let pause = self.backlog.pass_pause_ms(self.waiting.len());
         let paused = self.pass_left_some && now < self.last_pass + pause;
-        let starts_at_once = self.strain.starts_at_once();
+        let starts_at_once = self.backlog.starts_at_once();
         if self.may_be_followed(now) || paused || self.starts_under_way >= starts_at_once {
             return;
         }
@@ -181,7 +181,7 @@
         let all = self.workers.len();
         let looks = match urgent {
             true => all,
-            false => self.strain.places_looked_at(all),
+            false => self.backlog.places_looked_at(all),
         };
         let from = memo.looks % all.max(1);
         memo.looks += looks;
@@ -213,8 +213,8 @@
         let mut cost = place_cost(worker, candidate, taken);
         cost += self.caution_cost(now, worker, candidate);
         if candidate.step.fills {
-            let board = worker.board(&self.press, &self.loads, now);
-            match fill_cost(board, &self.press, candidate) {
+            let board = worker.board(&self.interference, &self.loads, now);
+            match fill_cost(board, &self.interference, candidate) {
                 Some(filling) => cost += filling,
                 None => return PlaceCost::NoPlace,
             }
--- a/crates/jobs/src/readings.rs
+++ b/crates/jobs/src/readings.rs
@@ -7,7 +7,7 @@
 use crate::guard::UNKNOWN_PACE;
 use crate::ids::TaskKey;
 use crate::images::ImageId;
-use crate::press::{load_of_tail, FillLoads};
+use crate::interference::{load_of_tail, InterferenceLoads};
 use crate::run::RunRecord;
 use crate::scheduler::JobScheduler;
 use crate::worker::WorkerState;
@@ -133,14 +133,14 @@
         &mut self,
         now: Millis,
         reading: &StepReading,
-        fills: &FillLoads,
+        fills: &InterferenceLoads,
         error: f64,
     ) {
         if fills.is_empty() {
             return;
         }
         let expected = self.loads.forecast(&reading.step, now);
-        let pressure = self.press.pressure(reading.image, fills);
+        let pressure = self.interference.pressure(reading.image, fills);
         let raised_by = reading.seen / expected.load - 1.0;
         // A bounded tail says at least so much.
         if reading.seen >= SATURATED_LOAD && raised_by < pressure {
@@ -150,17 +150,24 @@
         let of_load = raised * raised * expected.variance / (expected.load * expected.load);
         let of_change = (error * pressure.max(raised_by).max(LEAST_PRESSURE)).powi(2);
         let variance = PRESSURE_DEVIATION * PRESSURE_DEVIATION + of_change + of_load;
-        self.press.learn(reading.image, raised_by, variance, fills);
+        self.interference
+            .learn(reading.image, raised_by, variance, fills);
     }
 
     /// Learns a step's load without filling tasks.
-    fn learn_load(&mut self, now: Millis, reading: &StepReading, fills: &FillLoads, error: f64) {
+    fn learn_load(
+        &mut self,
+        now: Millis,
+        reading: &StepReading,
+        fills: &InterferenceLoads,
+        error: f64,
+    ) {
         if reading.seen >= SATURATED_LOAD && !fills.is_empty() {
             return;
         }
-        let pressure = self.press.pressure(reading.image, fills);
+        let pressure = self.interference.pressure(reading.image, fills);
         let raised = 1.0 + pressure;
-        let uncertain = self.press.pressure_variance(reading.image, fills)
+        let uncertain = self.interference.pressure_variance(reading.image, fills)
             + (error * pressure).powi(2)
             + (PRESSURE_ERROR * pressure).powi(2);
         let of_pressure = (reading.seen / (raised * raised)).powi(2) * uncertain;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -6,26 +6,26 @@
 use sandshelf_model::{Epoch, Millis, WorkerId};
 use sandshelf_place::QuarantineBook;
 
+use crate::backlog::BacklogMonitor;
 use crate::crash::CrashBook;
 use crate::events::{JobAction, JobEvent, WorkerCall};
 use crate::foreign::ForeignRuns;
 use crate::halls::EvacuatedHalls;
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
 use crate::images::ImageTable;
+use crate::interference::InterferenceEstimate;
 use crate::job::{JobState, TaskStage};
 use crate::limits::{
     SchedulerLimits, FRESH_JOB_WAIT_MS, LONGEST_PAUSE_MS, PASS_EVERY_MS, QUARANTINE,
     SLOWEST_CLOCK_PERCENT, TAKEOVER_MARGIN_MS, WORKER_LOOK_MS,
 };
+use crate::load_forecast::LoadHistory;
 use crate::note::JobNote;
-use crate::press::PressEstimate;
 use crate::progress::ProgressRow;
 use crate::rank::VainTries;
 use crate::rooms::EndedRooms;
 use crate::silent::{MarkBook, StoreClock};
 use crate::spec::{JobSpec, QueueRules};
-use crate::strain::WorkStrain;
-use crate::swing::LoadBook;
 use crate::takeover::{Recovery, TakeoverInfo, FIRST_EPOCH};
 use crate::worker::WorkerState;
 
@@ -119,9 +119,9 @@
     pub(crate) quarantine: QuarantineBook,
     pub(crate) crashes: CrashBook,
     pub(crate) images: ImageTable,
-    pub(crate) press: PressEstimate,
-    pub(crate) loads: LoadBook,
-    pub(crate) strengths_at: Millis,
+    pub(crate) interference: InterferenceEstimate,
+    pub(crate) loads: LoadHistory,
+    pub(crate) interference_written_at: Millis,
     pub(crate) room_changed: bool,
     pub(crate) last_pass: Millis,
     /// What the last pass need not have tried, where it was cut short.
@@ -130,7 +130,7 @@
     /// Whether the last pass left tasks waiting.
     pub(crate) pass_left_some: bool,
     pub(crate) last_move: Millis,
-    pub(crate) strain: WorkStrain,
+    pub(crate) backlog: BacklogMonitor,
     /// Orders to start that were sent and have no answer yet.
     pub(crate) starts_under_way: usize,
     pub(crate) last_tick: Millis,
@@ -203,16 +203,16 @@
             quarantine: QuarantineBook::with_rule(QUARANTINE),
             crashes: CrashBook::default(),
             images: ImageTable::default(),
-            press: PressEstimate::default(),
-            loads: LoadBook::default(),
-            strengths_at: 0,
+            interference: InterferenceEstimate::default(),
+            loads: LoadHistory::default(),
+            interference_written_at: 0,
             room_changed: false,
             last_pass: 0,
             vain_tries: None,
             workers_looked: 0,
             pass_left_some: false,
             last_move: 0,
-            strain: WorkStrain::default(),
+            backlog: BacklogMonitor::default(),
             starts_under_way: 0,
             last_tick: 0,
             sure_until: Millis::MAX,
@@ -221,8 +221,8 @@
             out: Vec::new(),
         };
         scheduler
-            .press
-            .restore(&mut scheduler.images, &info.strengths);
+            .interference
+            .restore(&mut scheduler.images, &info.interference);
         let lives = info.roster.lives.into_iter().chain(std::iter::repeat(None));
         for ((worker, address), life) in info.roster.workers.into_iter().zip(lives) {
             scheduler.expect_worker(info.claimed_at, worker, address, life);
@@ -308,7 +308,7 @@
     fn tick(&mut self, now: Millis, wall_ms: u64) {
         self.wall_ms = wall_ms;
         if self.last_tick > 0 {
-            self.strain
+            self.backlog
                 .note_tick(now, now.saturating_sub(self.last_tick));
         }
         self.last_tick = now;
@@ -331,7 +331,7 @@
         if sure {
             self.move_slowed(now);
         }
-        self.loads.refresh(now, &self.strain);
+        self.loads.refresh(now, &self.backlog);
         // Readings change what serving tasks leave, and jobs grow late, without any event that frees room.
         self.room_changed |= now >= self.last_pass + PASS_EVERY_MS;
     }
@@ -394,7 +394,7 @@
         self.room_changed = true;
         // What has just come is tried at once, unless this owner is behind: a pass for each of 1,000 tasks a second looks at all
         // that wait before them.
-        self.pass_left_some &= !self.strain.keeps_up();
+        self.pass_left_some &= !self.backlog.keeps_up();
     }
 
     /// Takes tasks out of the queue. All that wait are looked at, so that it is done only where something of the step or job
--- a/crates/jobs/src/story.rs
+++ b/crates/jobs/src/summary.rs
@@ -17,7 +17,7 @@
 
 /// What happened to the tasks of one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct StepStory {
+struct StepSummary {
     runs: u32,
     done: u32,
     failed: u32,
@@ -33,11 +33,11 @@
 
 /// The stories of jobs that have not ended, as one owner saw them.
 #[derive(Clone, Debug, Default)]
-pub struct JobStories {
-    jobs: HashMap<JobNumber, BTreeMap<(u32, u32), StepStory>>,
+pub struct JobSummaries {
+    jobs: HashMap<JobNumber, BTreeMap<(u32, u32), StepSummary>>,
 }
 
-impl JobStories {
+impl JobSummaries {
     /// Takes in what happened; returns a job's story with its end, by times since it was handed in.
     pub fn note(&mut self, now: Millis, note: &JobNote) -> Option<String> {
         match note {
@@ -83,7 +83,7 @@
         self.jobs.len()
     }
 
-    fn step(&mut self, task: &TaskKey) -> &mut StepStory {
+    fn step(&mut self, task: &TaskKey) -> &mut StepSummary {
         let steps = self.jobs.entry(task.job).or_default();
         let mut place = (task.time, task.step);
         if steps.len() >= STEPS_TOLD && !steps.contains_key(&place) {
@@ -93,7 +93,7 @@
     }
 }
 
-fn tell(steps: &BTreeMap<(u32, u32), StepStory>, handed_in: Millis) -> String {
+fn tell(steps: &BTreeMap<(u32, u32), StepSummary>, handed_in: Millis) -> String {
     let told = steps.iter().map(|((time, step), story)| {
         let since = story.since(handed_in);
         format!("{time}.{step}:{since}")
@@ -101,7 +101,7 @@
     told.collect::<Vec<_>>().join(" ")
 }
 
-impl StepStory {
+impl StepSummary {
     /// The same with times since the job was handed in.
     fn since(&self, handed_in: Millis) -> Self {
         Self {
@@ -113,9 +113,9 @@
     }
 }
 
-impl fmt::Display for StepStory {
+impl fmt::Display for StepSummary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let StepStory {
+        let StepSummary {
             runs,
             done,
             failed,
--- a/crates/jobs/src/takeover.rs
+++ b/crates/jobs/src/takeover.rs
@@ -5,8 +5,8 @@
 use sandshelf_model::{Epoch, Millis, WorkerId};
 
 use crate::ids::JobNumber;
+use crate::interference::InterferenceRow;
 use crate::limits::SchedulerLimits;
-use crate::press::StrengthRow;
 use crate::progress::ProgressRow;
 use crate::roster::WorkerRoster;
 use crate::silent::SilentWorkers;
@@ -40,7 +40,7 @@
     /// What the store's clock shows at least at the claim, in milliseconds.
     pub store_ms: u64,
     /// What an earlier owner had learnt of images.
-    pub strengths: StrengthRow,
+    pub interference: InterferenceRow,
 }
 
 impl TakeoverInfo {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -8,14 +8,14 @@
 use crate::crash::CrashSuspect;
 use crate::fill::FillBoard;
 use crate::ids::RunKey;
+use crate::interference::{InterferenceEstimate, InterferenceLoads};
 use crate::life::{ClockSight, LifeState};
 use crate::limits::{
     ACKNOWLEDGED_WITHIN_MS, ANSWER_SOON_MS, SILENT_AFTER_MS, START_ANSWER_MS, SUSPECT_AFTER_HOLDS,
 };
-use crate::press::{FillLoads, PressEstimate};
+use crate::load_forecast::LoadHistory;
 use crate::reports::WorkerListing;
 use crate::run::{RunPhase, RunRecord};
-use crate::swing::LoadBook;
 
 /// Whether it is written down that the lease of a silent worker ends, so that nothing may prolong it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -112,9 +112,14 @@
     }
 
     /// The tasks here as the dealing of shares sees them.
-    pub(crate) fn board(&self, press: &PressEstimate, loads: &LoadBook, now: Millis) -> &FillBoard {
+    pub(crate) fn board(
+        &self,
+        interference: &InterferenceEstimate,
+        loads: &LoadHistory,
+        now: Millis,
+    ) -> &FillBoard {
         self.board
-            .get_or_init(|| FillBoard::new(self, press, loads, now))
+            .get_or_init(|| FillBoard::new(self, interference, loads, now))
     }
 
     /// Notes that the tasks here, or what is read of them, have changed.
@@ -278,9 +283,9 @@
     }
 
     /// What fills here, by the newest readings.
-    pub(crate) fn fill_loads(&self) -> FillLoads {
+    pub(crate) fn fill_loads(&self) -> InterferenceLoads {
         let capacity = self.entry.capacity.cpu_millis.max(1) as f64;
-        let mut loads = FillLoads::default();
+        let mut loads = InterferenceLoads::default();
         for record in self.runs.values().filter(|record| record.fills) {
             let used = record.gauge.unwrap_or(0) as f64 / capacity;
             if used > 0.0 {
--- a/crates/jobs/tests/guard.rs
+++ b/crates/jobs/tests/guard.rs
@@ -104,7 +104,7 @@
     let learnt = rig
         .commit_all()
         .into_iter()
-        .filter_map(|batch| batch.strengths)
+        .filter_map(|batch| batch.interference)
         .last();
     let learnt = learnt.expect("strengths are written");
     assert_eq!(learnt.pairs.len(), 1);
@@ -116,7 +116,7 @@
     let info = TakeoverInfo {
         epoch: 2,
         claimed_at: 1_000,
-        strengths: learnt.clone(),
+        interference: learnt.clone(),
         ..TakeoverInfo::default()
     };
     let mut next = SchedulerRig::new(info);
@@ -127,7 +127,7 @@
     let handed_on = next
         .commit_all()
         .into_iter()
-        .filter_map(|batch| batch.strengths)
+        .filter_map(|batch| batch.interference)
         .last();
     assert_eq!(handed_on, Some(learnt));
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use sandshelf_jobs::{
-    EndReport, JobAction, JobEvent, JobNote, JobStage, LearntPair, RunKey, RunOutcome, RunReport,
-    StepSpec, StrengthRow, TakeoverInfo,
+    EndReport, InterferencePair, InterferenceRow, JobAction, JobEvent, JobNote, JobStage, RunKey,
+    RunOutcome, RunReport, StepSpec, TakeoverInfo,
 };
 use sandshelf_model::{Millis, ResourceSize};
 use support::{job, step, SchedulerRig};
@@ -90,14 +90,14 @@
 impl DisturbedFleet {
     /// Starts with a serving task on each worker, and an owner that knows how strongly it is disturbed.
     fn new() -> Self {
-        let learnt = LearntPair {
+        let learnt = InterferencePair {
             serving: "web".to_owned(),
             filling: "index".to_owned(),
             mean: STRENGTH,
             variance: 0.01,
         };
         let info = TakeoverInfo {
-            strengths: StrengthRow {
+            interference: InterferenceRow {
                 pairs: vec![learnt],
             },
             ..TakeoverInfo::first(1, 1_000)
--- a/crates/jobs/tests/story.rs
+++ b/crates/jobs/tests/story.rs
@@ -1,7 +1,7 @@
 //! A job's story in a few figures a step.
 
 use sandshelf_jobs::{
-    JobNote, JobNumber, JobStage, JobStories, LossCause, RunKey, RunOutcome, TaskKey,
+    JobNote, JobNumber, JobStage, JobSummaries, LossCause, RunKey, RunOutcome, TaskKey,
 };
 use sandshelf_model::{Millis, WorkerId};
 
@@ -48,7 +48,7 @@
 
 /// A job of two steps that lost time to a failed run, and then to a wait for room.
 fn tells_each_step() {
-    let mut stories = JobStories::default();
+    let mut stories = JobSummaries::default();
     let events = [
         (1_010, placed(key(0, 0, 1), 10)),
         (1_020, placed(key(0, 1, 1), 20)),
@@ -79,13 +79,13 @@
 
 /// A job that was cancelled before anything began has a story without steps.
 fn tells_a_job_that_never_began() {
-    let mut stories = JobStories::default();
+    let mut stories = JobSummaries::default();
     assert_eq!(stories.note(9, &finished(5)).as_deref(), Some(""));
 }
 
 /// However many steps and repetitions a job has, and however wide they are, its story stays short.
 fn stays_short() {
-    let mut stories = JobStories::default();
+    let mut stories = JobSummaries::default();
     for step in 0..2_000 {
         for index in 0..20 {
             stories.note(1_000_000, &placed(key(step, index, 1), 1_000_000));
--- a/crates/jobs/tests/swing.rs
+++ b/crates/jobs/tests/swing.rs
@@ -184,7 +184,7 @@
     /// What was learnt goes along with the newest write.
     fn strengths(&mut self) -> BTreeMap<String, f64> {
         let batches = self.rig.commit_all();
-        let newest = batches.into_iter().filter_map(|batch| batch.strengths);
+        let newest = batches.into_iter().filter_map(|batch| batch.interference);
         let pairs = newest.last().expect("strengths are written").pairs;
         pairs
             .into_iter()
--- a/crates/sandshelfd/src/jobs/owner.rs
+++ b/crates/sandshelfd/src/jobs/owner.rs
@@ -15,7 +15,7 @@
 
 use sandshelf_adapter::{StoreClient, StoreFault, WorkerClient};
 use sandshelf_config::{JobSettings, OrderWay};
-use sandshelf_jobs::{CommitBatch, JobAction, JobEvent, JobScheduler, JobStories, WorkerCall};
+use sandshelf_jobs::{CommitBatch, JobAction, JobEvent, JobScheduler, JobSummaries, WorkerCall};
 use sandshelf_lease::{LeaseStage, LeaseTimes, ShardLease, StoredRow};
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -95,7 +95,7 @@
     scheduler: JobScheduler,
     calls: WorkerCalls,
     relays: RelayPool,
-    stories: JobStories,
+    stories: JobSummaries,
     tenure: ShardTenure,
     queues_version: u64,
     /// The evacuated halls that the scheduler was told last.
--- a/crates/sandshelfd/src/jobs/owner/recover.rs
+++ b/crates/sandshelfd/src/jobs/owner/recover.rs
@@ -5,7 +5,7 @@
 
 use sandshelf_adapter::WorkerClient;
 use sandshelf_jobs::relay::waits_for_relays;
-use sandshelf_jobs::{JobEvent, JobScheduler, JobStories, SchedulerLimits, TakeoverInfo};
+use sandshelf_jobs::{JobEvent, JobScheduler, JobSummaries, SchedulerLimits, TakeoverInfo};
 use sandshelf_lease::LeaseStage;
 use sandshelf_model::Millis;
 use tokio::task::{spawn_local, JoinHandle};
@@ -127,7 +127,7 @@
             roster: published.roster,
             silent: published.silent,
             store_ms: published.store_ms,
-            strengths: published.strengths,
+            interference: published.strengths,
             ..TakeoverInfo::default()
         };
         let listing = follow_workers(self.store.clone(), self.intake.clone());
@@ -135,7 +135,7 @@
             scheduler: JobScheduler::new(limits, info),
             calls: WorkerCalls::new(workers),
             relays,
-            stories: JobStories::default(),
+            stories: JobSummaries::default(),
             tenure: ShardTenure::new(self.lease.last_renewal().unwrap_or(self.claimed_at)),
             queues_version: 0,
             evacuated: BTreeSet::new(),
--- a/crates/sandshelfd/src/jobs/takeover.rs
+++ b/crates/sandshelfd/src/jobs/takeover.rs
@@ -7,7 +7,7 @@
 use futures::{stream, StreamExt};
 use sandshelf_adapter::{join_value, CallPatience, StoredValue};
 use sandshelf_jobs::{
-    JobEvent, JobNumber, JobSpec, ProgressRow, SilentWorkers, StrengthRow, WorkerRoster,
+    InterferenceRow, JobEvent, JobNumber, JobSpec, ProgressRow, SilentWorkers, WorkerRoster,
 };
 
 use crate::jobs::accept::decode_row;
@@ -34,7 +34,7 @@
     /// Which of them had fallen silent.
     pub silent: SilentWorkers,
     /// What was learnt of images.
-    pub strengths: StrengthRow,
+    pub strengths: InterferenceRow,
     /// What the store's clock showed then, in milliseconds.
     pub store_ms: u64,
 }
--- a/crates/sandshelfd/src/jobs/writer.rs
+++ b/crates/sandshelfd/src/jobs/writer.rs
@@ -175,7 +175,7 @@
         };
         puts.extend(long_row(PENDING_KEY, &row));
     }
-    if let Some(strengths) = &write.batch.strengths {
+    if let Some(strengths) = &write.batch.interference {
         puts.extend(long_row(STRENGTHS_KEY, strengths));
     }
     if let Some(roster) = &write.batch.roster {
