--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -89,7 +89,7 @@
         }
         self.note_begun(&key.task);
         self.probe_begun(now, worker, key);
-        self.guard_worker(now, worker);
+        self.update_paces(now, worker);
     }
 
     /// Notes that some task of the job has begun.
--- a/crates/jobs/src/backlog.rs
+++ b/crates/jobs/src/backlog.rs
@@ -77,18 +77,18 @@
 
 impl BacklogMonitor {
     /// Notes a worker's answer that came so long after the wait that was asked for.
-    pub(crate) fn note_answer(&mut self, late_ms: Millis) {
+    pub(crate) fn record_answer(&mut self, late_ms: Millis) {
         self.answers += 1;
         self.late_answers += usize::from(late_ms > LATE_ANSWER_MS);
     }
 
     /// Notes that a worker did not answer which was not known to be silent.
-    pub(crate) fn note_failure(&mut self) {
+    pub(crate) fn record_failure(&mut self) {
         self.failed += 1;
     }
 
     /// Notes the time since the tick before, and judges the window where it is over.
-    pub(crate) fn note_tick(&mut self, now: Millis, since_last: Millis) {
+    pub(crate) fn record_tick(&mut self, now: Millis, since_last: Millis) {
         self.ticks += 1;
         self.late_ms += since_last.saturating_sub(TICK_MS);
         if now < self.judged_at + WINDOW_MS {
@@ -137,12 +137,12 @@
     }
 
     /// How long a worker may wait for an end, where it would be `wait_ms` with time enough.
-    pub(crate) fn hold_wait_ms(&self, wait_ms: Millis) -> Millis {
+    pub(crate) fn renewal_wait_ms(&self, wait_ms: Millis) -> Millis {
         self.stretched(wait_ms).min(LONGEST_WAIT_MS.max(wait_ms))
     }
 
     /// The pause before the next look at a worker that has answered: an end answers a look before its wait is over.
-    pub(crate) fn hold_gap_ms(&self) -> Millis {
+    pub(crate) fn renewal_gap_ms(&self) -> Millis {
         (self.stretched(HOLD_WAIT_MS) - HOLD_WAIT_MS).min(LONGEST_GAP_MS)
     }
 
@@ -156,18 +156,18 @@
 
     /// For how many of so many workers a place for a filling task is looked for: one that has fallen behind starts more with a
     /// good place for each than with the best for a few.
-    pub(crate) fn places_looked_at(&self, workers: usize) -> usize {
+    pub(crate) fn placement_candidates(&self, workers: usize) -> usize {
         let stretched = workers * NO_STRETCH as usize / self.stretch as usize;
         stretched.max(FEWEST_PLACES).min(workers)
     }
 
     /// How often something is to be done that takes a while and can wait.
-    pub(crate) fn pause_ms(&self, pause: Millis) -> Millis {
+    pub(crate) fn stretched_pause_ms(&self, pause: Millis) -> Millis {
         self.stretched(pause)
     }
 
     /// How many orders to start may be without an answer.
-    pub(crate) fn starts_at_once(&self) -> usize {
+    pub(crate) fn max_unanswered_starts(&self) -> usize {
         let stretched = STARTS_AT_ONCE * NO_STRETCH as usize / self.stretch as usize;
         stretched.max(FEWEST_STARTS)
     }
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -133,7 +133,7 @@
 
     /// Nothing waits to be written: all ends that were taken in may be acknowledged.
     fn acknowledge_all(&mut self, now: Millis) {
-        let gap = self.backlog.hold_gap_ms();
+        let gap = self.backlog.renewal_gap_ms();
         for ends in self.noted_ends() {
             if let Some(state) = self.workers.get_mut(&ends.worker) {
                 state.life.durable = ends.newest;
@@ -150,7 +150,7 @@
         self.note_marks_gone(now, id);
         self.lease_published |= commit.roster;
         self.release_noted(now, commit.crashed);
-        let gap = self.backlog.hold_gap_ms();
+        let gap = self.backlog.renewal_gap_ms();
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
             // Numbers of a life that is over say nothing of the one that has begun since.
--- a/crates/jobs/src/cost.rs
+++ b/crates/jobs/src/cost.rs
@@ -3,7 +3,7 @@
 use sandshelf_model::{ResourceSize, WorkerId};
 
 use crate::crash::StartCaution;
-use crate::fill::{FillAsk, FillBoard};
+use crate::fill::{FillAllocator, FillRequest};
 use crate::ids::TaskKey;
 use crate::interference::InterferenceEstimate;
 use crate::spec::StepSpec;
@@ -58,7 +58,7 @@
     pub(crate) guarded: bool,
     /// With how much caution, after crashes of its workers.
     pub(crate) caution: StartCaution,
-    pub(crate) fill: FillAsk,
+    pub(crate) fill: FillRequest,
 }
 
 /// What it costs to add a serving task to the serving tasks of a worker: they are packed, first by image, then by job.
@@ -109,17 +109,17 @@
 
 /// What it costs beside that to place a filling task on a worker; none where it had better wait.
 pub(crate) fn fill_cost(
-    board: &FillBoard,
+    allocator: &FillAllocator,
     interference: &InterferenceEstimate,
     candidate: &Candidate<'_>,
 ) -> Option<f64> {
-    let share = board.foreseen_share(interference, &candidate.fill);
-    if board.has_filling() && !candidate.starving && share < LEAST_SHARE {
+    let share = allocator.foreseen_share(interference, &candidate.fill);
+    if allocator.has_filling() && !candidate.starving && share < LEAST_SHARE {
         return None;
     }
-    let mut cost = board.room_taken(interference, &candidate.fill) * ROOM_TAKEN_WEIGHT;
+    let mut cost = allocator.room_taken(interference, &candidate.fill) * ROOM_TAKEN_WEIGHT;
     cost -= share * SERVING_ROOM_WEIGHT;
-    if !board.has_serving() {
+    if !allocator.has_serving() {
         cost += UNDISTURBED_COST;
     }
     Some(cost)
--- a/crates/jobs/src/due.rs
+++ b/crates/jobs/src/due.rs
@@ -33,13 +33,13 @@
     }
 
     /// What an end at a time is worth to the caller.
-    pub(crate) fn worth_at(&self, end: Millis) -> EndWorth {
+    pub(crate) fn worth_at(&self, end: Millis) -> CompletionValue {
         if end <= self.objective_at {
-            EndWorth::Whole
+            CompletionValue::Whole
         } else if end <= self.useless_at {
-            EndWorth::Little
+            CompletionValue::Little
         } else {
-            EndWorth::Nothing
+            CompletionValue::Nothing
         }
     }
 }
@@ -55,7 +55,7 @@
 
 /// What the end of a job is worth to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum EndWorth {
+pub(crate) enum CompletionValue {
     /// It meets its objective.
     Whole,
     /// It is late.
--- a/crates/jobs/src/fill.rs
+++ b/crates/jobs/src/fill.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::Millis;
 use smallvec::SmallVec;
 
-use crate::due::{DueTimes, EndWorth};
+use crate::due::{CompletionValue, DueTimes};
 use crate::ids::{RunKey, TaskKey};
 use crate::images::ImageId;
 use crate::interference::{target_load, InterferenceEstimate};
@@ -39,10 +39,10 @@
 
 impl ServingRoom {
     /// What the tasks of a serving step leave until paces are looked at again.
-    fn of(step: &TaskKey, image: ImageId, loads: &LoadHistory, now: Millis) -> Self {
+    fn of(step: &TaskKey, image: ImageId, history: &LoadHistory, now: Millis) -> Self {
         let most = target_load() * LOAD_MARGIN;
         let allowed = |ahead: Millis| {
-            let expected = loads.forecast(step, now + ahead);
+            let expected = history.forecast(step, now + ahead);
             (most / expected.load - 1.0).max(0.0)
         };
         Self {
@@ -58,7 +58,7 @@
 /// it is, and not by when the job can end, the processors went to jobs until the moment at which they turned late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FillUrgency {
-    worth: EndWorth,
+    worth: CompletionValue,
     due: DueTimes,
 }
 
@@ -74,7 +74,7 @@
 
 /// A filling task that has yet to be placed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FillAsk {
+pub(crate) struct FillRequest {
     pub(crate) urgency: FillUrgency,
     pub(crate) image: ImageId,
     /// The processors that it uses at full pace, in thousandths of a core.
@@ -105,7 +105,7 @@
 
 /// The serving and filling tasks of a worker, as the dealing of shares sees them.
 #[derive(Clone, Debug)]
-pub(crate) struct FillBoard {
+pub(crate) struct FillAllocator {
     rooms: ServingRooms,
     /// The filling tasks, the one that goes first in front.
     wants: Vec<FillWant>,
@@ -119,12 +119,12 @@
     filling_cpu: u64,
 }
 
-impl FillBoard {
+impl FillAllocator {
     /// What a worker's tasks look like by now.
     pub(crate) fn new(
         worker: &WorkerState,
         interference: &InterferenceEstimate,
-        loads: &LoadHistory,
+        history: &LoadHistory,
         now: Millis,
     ) -> Self {
         let capacity = worker.entry.capacity.cpu_millis;
@@ -136,8 +136,8 @@
             .map(|(key, record)| (key.task.first_of_step(), record.image))
             .collect();
         let rooms = steps.iter();
-        let rooms = rooms.map(|(step, image)| ServingRoom::of(step, *image, loads, now));
-        let mut board = Self {
+        let rooms = rooms.map(|(step, image)| ServingRoom::of(step, *image, history, now));
+        let mut allocator = Self {
             rooms: rooms.collect(),
             wants: Vec::new(),
             capacity_cpu: capacity.max(1) as f64,
@@ -145,25 +145,25 @@
             filling_cpu: worker.filling_cpu(),
         };
         for (key, record) in worker.runs.iter().filter(|(_, record)| record.fills) {
-            let ask = FillAsk {
+            let ask = FillRequest {
                 urgency: FillUrgency::new(now, record.due, record.needs_ms()),
                 image: record.image,
                 cpu_millis: record.full_use() as u64,
             };
             let left = LEAST_LEFT.max(1.0 - f64::from(record.percent) / 100.0);
-            let want = board.want(interference, &ask, left);
-            board.wants.push(FillWant {
+            let want = allocator.want(interference, &ask, left);
+            allocator.wants.push(FillWant {
                 key: Some(*key),
                 ..want
             });
         }
-        let wants = &mut board.wants;
+        let wants = &mut allocator.wants;
         wants.sort_by(|one, other| one.order(other).then(one.key.cmp(&other.key)));
-        board
+        allocator
     }
 
     /// What a filling task wants, with `left` of its work to do.
-    fn want(&self, interference: &InterferenceEstimate, ask: &FillAsk, left: f64) -> FillWant {
+    fn want(&self, interference: &InterferenceEstimate, ask: &FillRequest, left: f64) -> FillWant {
         let strengths = self
             .rooms
             .iter()
@@ -191,7 +191,11 @@
 
     /// The share at which one more filling task would work, by what serving tasks leave and by the processors that no
     /// ordinary task holds.
-    pub(crate) fn foreseen_share(&self, interference: &InterferenceEstimate, ask: &FillAsk) -> f64 {
+    pub(crate) fn foreseen_share(
+        &self,
+        interference: &InterferenceEstimate,
+        ask: &FillRequest,
+    ) -> f64 {
         let asked = self.want(interference, ask, 1.0);
         let mut rooms = self.rooms.clone();
         for want in &self.wants {
@@ -208,7 +212,7 @@
 
     /// What part of the room that the tightest serving task leaves one more filling task would take up; 1 where there is
     /// none.
-    pub(crate) fn room_taken(&self, interference: &InterferenceEstimate, ask: &FillAsk) -> f64 {
+    pub(crate) fn room_taken(&self, interference: &InterferenceEstimate, ask: &FillRequest) -> f64 {
         let load = ask.cpu_millis as f64 / self.capacity_cpu;
         let taken = self.rooms.iter().map(|room| {
             let own = interference.strength(room.image, ask.image) * load;
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -9,7 +9,7 @@
 
 impl JobScheduler {
     /// Whether every member of the gang waits, so that it can be started as a whole.
-    pub(crate) fn gang_is_whole(&self, key: &TaskKey) -> bool {
+    pub(crate) fn whole_gang_waits(&self, key: &TaskKey) -> bool {
         let job = self.jobs.get(&key.job);
         let step = job.and_then(|job| job.step(key));
         step.is_some_and(|step| {
@@ -19,7 +19,7 @@
     }
 
     /// Stops what is left of a gang of which some members are not at work.
-    pub(crate) fn mend_gang(&mut self, now: Millis, key: TaskKey) {
+    pub(crate) fn stop_partial_gang(&mut self, now: Millis, key: TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
--- a/crates/jobs/src/guard.rs
+++ b/crates/jobs/src/guard.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::events::WorkerCall;
-use crate::fill::{FillAsk, FillUrgency};
+use crate::fill::{FillRequest, FillUrgency};
 use crate::ids::RunKey;
 use crate::images::ImageId;
 use crate::life::ClockSight;
@@ -55,7 +55,7 @@
 
 impl JobScheduler {
     /// Sets the pace of each filling task on a worker.
-    pub(crate) fn guard_worker(&mut self, now: Millis, worker: &WorkerId) {
+    pub(crate) fn update_paces(&mut self, now: Millis, worker: &WorkerId) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
@@ -68,7 +68,7 @@
         };
         let alone = state.runs.values().any(long_over);
         let shares = state
-            .board(&self.interference, &self.loads, now)
+            .fill_allocator(&self.interference, &self.load_history, now)
             .deal(&self.interference);
         let mut changed = Vec::new();
         for (key, share) in shares {
@@ -106,8 +106,8 @@
     }
 
     /// Moves filling tasks that have been slowed down for long to workers where they would work at nearly full pace.
-    pub(crate) fn move_slowed(&mut self, now: Millis) {
-        if now < self.last_move + self.backlog.pause_ms(MOVE_EVERY_MS) {
+    pub(crate) fn move_slowed_tasks(&mut self, now: Millis) {
+        if now < self.last_move + self.backlog.stretched_pause_ms(MOVE_EVERY_MS) {
             return;
         }
         self.last_move = now;
@@ -145,14 +145,14 @@
         service: &str,
         taken: &[&WorkerId],
     ) -> Option<&WorkerId> {
-        let asked = FillAsk {
+        let asked = FillRequest {
             urgency: FillUrgency::new(now, record.due, record.needs_ms()),
             image: record.image,
             cpu_millis: record.cpu_millis,
         };
         let share_at = |target: &WorkerState| {
-            let board = target.board(&self.interference, &self.loads, now);
-            board.foreseen_share(&self.interference, &asked)
+            let allocator = target.fill_allocator(&self.interference, &self.load_history, now);
+            allocator.foreseen_share(&self.interference, &asked)
         };
         let better = self.workers.iter().find(|(id, target)| {
             target.entry.service == service
@@ -178,7 +178,7 @@
     }
 
     /// Takes in the answer to a change of pace; one that is not certain is sent anew after the next reading.
-    pub(crate) fn take_pace_answer(
+    pub(crate) fn handle_pace_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
--- a/crates/jobs/src/halls.rs
+++ b/crates/jobs/src/halls.rs
@@ -52,7 +52,7 @@
 
 impl JobScheduler {
     /// Takes in which halls are evacuated.
-    pub(crate) fn take_evacuated(&mut self, now: Millis, halls: BTreeSet<HallId>) {
+    pub(crate) fn apply_evacuated_halls(&mut self, now: Millis, halls: BTreeSet<HallId>) {
         let (fresh, back) = self.evacuated.change(now, halls);
         for worker in self.workers.values_mut() {
             worker.evacuated = self.evacuated.contains(&worker.entry.hall);
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -83,10 +83,10 @@
                 // What the call took elsewhere says nothing of this owner.
                 let late = waited - state.hold_wait;
                 let own = late.saturating_sub(report.carrier_late_ms);
-                self.backlog.note_answer(own);
+                self.backlog.record_answer(own);
             }
             HoldAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
-                self.backlog.note_failure();
+                self.backlog.record_failure();
             }
             HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
         }
@@ -183,7 +183,7 @@
             self.room_changed = true;
         }
         self.learn_readings(now, worker);
-        self.guard_worker(now, worker);
+        self.update_paces(now, worker);
         self.plan_hold(now, worker);
     }
 
@@ -206,7 +206,7 @@
             return;
         };
         let gap = match state.mark {
-            LeaseMark::None => self.backlog.hold_gap_ms(),
+            LeaseMark::None => self.backlog.renewal_gap_ms(),
             LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
         };
         state.hold_gap = gap;
@@ -297,7 +297,7 @@
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step_spec(&key.task));
         let room = step.map(StepSpec::room);
-        let room = room.or_else(|| self.ended_rooms.of(&key.task));
+        let room = room.or_else(|| self.ended_job_sizes.of(&key.task));
         let step = step.cloned().unwrap_or_default();
         RunRecord {
             due: job.map_or(DueTimes::never(), |job| job.due),
@@ -366,9 +366,9 @@
     let wait_ms = if worker.life.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
-        backlog.hold_wait_ms(HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(HOLD_WAIT_MS)
     } else {
-        backlog.hold_wait_ms(IDLE_HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(IDLE_HOLD_WAIT_MS)
     };
     let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
     HoldCall {
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -46,7 +46,7 @@
         let mut job = JobState::new(number, spec, now, age, inherited);
         if let Some(row) = self.inherited.remove(&number) {
             if row.stage.is_final() {
-                self.keep_rooms(now, number, &job.spec);
+                self.keep_ended_sizes(now, number, &job.spec);
                 self.finished.insert(number);
                 self.finished_at.push_back((now, number));
                 return;
@@ -57,7 +57,7 @@
             }
         }
         if job.spec.repeat.is_none() || self.wall_ms > 0 {
-            job.add_due_times(self.wall_ms);
+            job.add_due_repetitions(self.wall_ms);
         }
         self.jobs.insert(number, job);
         self.note_awaited_crashes(now, number);
@@ -80,7 +80,7 @@
 
     /// Adds the repetitions that are due.
     pub(crate) fn open_due_times(&mut self, now: Millis) {
-        let timed = |job: &&JobState| job.next_time < job.time_count();
+        let timed = |job: &&JobState| job.next_repetition < job.repetition_count();
         let due: Vec<JobNumber> = self
             .jobs
             .values()
@@ -102,11 +102,11 @@
             return;
         };
         if job.spec.repeat.is_none() || wall_ms > 0 {
-            job.add_due_times(wall_ms);
+            job.add_due_repetitions(wall_ms);
         }
         let unfound = unsettled && (job.inherited || fresh);
         let opened = job.open_steps(now, unfound);
-        if job.drop_done_times() {
+        if job.drop_done_repetitions() {
             self.finish_job(now, number, JobStage::Completed);
             return;
         }
@@ -129,7 +129,7 @@
         };
         job.stage = stage;
         self.crashes.forget_job(number);
-        self.keep_rooms(now, number, &job.spec);
+        self.keep_ended_sizes(now, number, &job.spec);
         self.finished.insert(number);
         self.finished_at.push_back((now, number));
         self.final_rows.insert(number, job.progress());
--- a/crates/jobs/src/interference.rs
+++ b/crates/jobs/src/interference.rs
@@ -92,7 +92,7 @@
 }
 
 /// A serving task's load by its tail.
-pub(crate) fn load_of_tail(tail: f64, target: f64) -> f64 {
+pub(crate) fn load_from_tail(tail: f64, target: f64) -> f64 {
     let idle = target * IDLE_SHARE;
     let (least, most) = LOAD_BOUNDS;
     (1.0 - idle / tail.max(idle * 0.1)).clamp(least, most)
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -129,9 +129,9 @@
     pub(crate) stage: JobStage,
     /// When the job should be done, and when its end is of no use any more.
     pub(crate) due: DueTimes,
-    pub(crate) times: BTreeMap<u32, RepetitionState>,
-    pub(crate) times_done: u32,
-    pub(crate) next_time: u32,
+    pub(crate) repetitions: BTreeMap<u32, RepetitionState>,
+    pub(crate) repetitions_done: u32,
+    pub(crate) next_repetition: u32,
     /// Whether an earlier owner may have started tasks of it.
     pub(crate) inherited: bool,
 }
@@ -150,9 +150,9 @@
             spec,
             stage: JobStage::Queued,
             due,
-            times: BTreeMap::new(),
-            times_done: 0,
-            next_time: 0,
+            repetitions: BTreeMap::new(),
+            repetitions_done: 0,
+            next_repetition: 0,
             inherited,
         }
     }
@@ -160,12 +160,12 @@
     /// Takes over what an earlier owner had made durable.
     pub(crate) fn restore(&mut self, row: &ProgressRow) {
         self.stage = row.stage;
-        self.times_done = row.times_done;
-        self.next_time = row.times_done;
+        self.repetitions_done = row.times_done;
+        self.next_repetition = row.times_done;
         for task in &row.tasks {
             let fresh = || RepetitionState::new(&self.spec);
-            let time = self.times.entry(task.time).or_insert_with(fresh);
-            self.next_time = self.next_time.max(task.time + 1);
+            let time = self.repetitions.entry(task.time).or_insert_with(fresh);
+            self.next_repetition = self.next_repetition.max(task.time + 1);
             let step = time.steps.get_mut(task.step as usize);
             let Some(step) = step else { continue };
             let Some(state) = step.tasks.get_mut(task.index as usize) else {
@@ -182,27 +182,32 @@
     }
 
     /// How many repetitions there are in all.
-    pub(crate) fn time_count(&self) -> u32 {
+    pub(crate) fn repetition_count(&self) -> u32 {
         self.spec.repeat.map_or(1, |repeat| repeat.count.max(1))
     }
 
     /// Adds the repetitions that are due by `wall_ms`.
-    pub(crate) fn add_due_times(&mut self, wall_ms: u64) {
-        while self.next_time < self.time_count() {
-            let due = self.spec.repeat.map(|rule| rule.due_ms(self.next_time));
+    pub(crate) fn add_due_repetitions(&mut self, wall_ms: u64) {
+        while self.next_repetition < self.repetition_count() {
+            let due = self
+                .spec
+                .repeat
+                .map(|rule| rule.due_ms(self.next_repetition));
             if due.is_some_and(|due| due > wall_ms) {
                 return;
             }
             let fresh = || RepetitionState::new(&self.spec);
-            self.times.entry(self.next_time).or_insert_with(fresh);
-            self.next_time += 1;
+            self.repetitions
+                .entry(self.next_repetition)
+                .or_insert_with(fresh);
+            self.next_repetition += 1;
         }
     }
 
     /// Opens the steps whose turn has come; returns their tasks that are not done.
     pub(crate) fn open_steps(&mut self, now: Millis, unfound: bool) -> Vec<TaskKey> {
         let mut opened = Vec::new();
-        for (time, state) in &mut self.times {
+        for (time, state) in &mut self.repetitions {
             for step in 0..state.steps.len() {
                 if state.steps[step].open || !state.is_ready(&self.spec.steps[step]) {
                     continue;
@@ -231,24 +236,27 @@
     }
 
     /// Drops repetitions that are done from the front; returns whether the whole job is done.
-    pub(crate) fn drop_done_times(&mut self) -> bool {
+    pub(crate) fn drop_done_repetitions(&mut self) -> bool {
         while self
-            .times
-            .get(&self.times_done)
+            .repetitions
+            .get(&self.repetitions_done)
             .is_some_and(RepetitionState::is_done)
         {
-            self.times.remove(&self.times_done);
-            self.times_done += 1;
+            self.repetitions.remove(&self.repetitions_done);
+            self.repetitions_done += 1;
         }
-        self.times_done == self.time_count()
+        self.repetitions_done == self.repetition_count()
     }
 
     pub(crate) fn step(&self, key: &TaskKey) -> Option<&StepState> {
-        self.times.get(&key.time)?.steps.get(key.step as usize)
+        self.repetitions
+            .get(&key.time)?
+            .steps
+            .get(key.step as usize)
     }
 
     pub(crate) fn step_mut(&mut self, key: &TaskKey) -> Option<&mut StepState> {
-        let time = self.times.get_mut(&key.time)?;
+        let time = self.repetitions.get_mut(&key.time)?;
         time.steps.get_mut(key.step as usize)
     }
 
@@ -287,7 +295,7 @@
     /// What is to be kept of it.
     pub(crate) fn progress(&self) -> ProgressRow {
         let mut tasks = Vec::new();
-        for (time, state) in &self.times {
+        for (time, state) in &self.repetitions {
             for (step, tasks_of) in state.steps.iter().enumerate() {
                 let kept = tasks_of.tasks.iter().enumerate();
                 let kept = kept.filter(|(_, task)| !self.stage.is_final() && !task.is_new());
@@ -310,7 +318,7 @@
         ProgressRow {
             stage: self.stage,
             queue: self.spec.queue.clone(),
-            times_done: self.times_done,
+            times_done: self.repetitions_done,
             tasks,
         }
     }
@@ -357,14 +365,14 @@
 
     /// Whether a run of any task of it may be at work.
     pub(crate) fn has_live_task(&self) -> bool {
-        let tasks = self.times.values().flat_map(|time| &time.steps);
+        let tasks = self.repetitions.values().flat_map(|time| &time.steps);
         let mut tasks = tasks.flat_map(|step| &step.tasks);
         tasks.any(|task| matches!(task.stage, TaskStage::Live { .. }))
     }
 
     /// The guessed time of the longest chain of steps that are not done.
     pub(crate) fn remaining_ms(&self) -> Millis {
-        let Some(time) = self.times.values().next() else {
+        let Some(time) = self.repetitions.values().next() else {
             return 0;
         };
         let mut chains = vec![0u64; self.spec.steps.len()];
@@ -406,7 +414,7 @@
 
     fn keys_where(&self, wanted: impl Fn(&TaskState) -> bool) -> Vec<TaskKey> {
         let mut keys = Vec::new();
-        for (time, state) in &self.times {
+        for (time, state) in &self.repetitions {
             for (step, step_state) in state.steps.iter().enumerate() {
                 for (index, task) in step_state.tasks.iter().enumerate() {
                     if wanted(task) {
--- a/crates/jobs/src/load_forecast.rs
+++ b/crates/jobs/src/load_forecast.rs
@@ -184,7 +184,7 @@
 
     /// Looks for the period from time to time, and forgets steps that are no more.
     pub(crate) fn refresh(&mut self, now: Millis, backlog: &BacklogMonitor) {
-        if now < self.looked_at + backlog.pause_ms(LOOK_EVERY_MS) {
+        if now < self.looked_at + backlog.stretched_pause_ms(LOOK_EVERY_MS) {
             return;
         }
         self.looked_at = now;
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -7,11 +7,12 @@
 
 use crate::cost::{fill_cost, place_cost, Candidate, BLURRED_CRASH_COST, LOST_RUN_COST};
 use crate::crash::StartCaution;
-use crate::fill::{FillAsk, FillUrgency};
+use crate::fill::{FillRequest, FillUrgency};
 use crate::ids::TaskKey;
 use crate::limits::{LOOKS_PER_PASS, ROUND_WITHIN_MS};
 use crate::rank::{
-    is_mostly_taken, place_rank, PassMemo, PlaceCost, PlaceRank, RankTier, VainTries, WaitingGroup,
+    is_mostly_taken, place_rank, FailedPlacements, PassMemo, PlaceCost, PlaceRank, RankTier,
+    WaitingGroup,
 };
 use crate::scheduler::{JobScheduler, WaitKey};
 use crate::worker::WorkerState;
@@ -20,9 +21,9 @@
     /// Starts waiting tasks on workers that have room, the most urgent first.
     pub(crate) fn place_waiting(&mut self, now: Millis) {
         let pause = self.backlog.pass_pause_ms(self.waiting.len());
-        let paused = self.pass_left_some && now < self.last_pass + pause;
-        let starts_at_once = self.backlog.starts_at_once();
-        if self.may_be_followed(now) || paused || self.starts_under_way >= starts_at_once {
+        let paused = self.pass_left_tasks && now < self.last_pass + pause;
+        let max_unanswered_starts = self.backlog.max_unanswered_starts();
+        if self.may_be_followed(now) || paused || self.unanswered_starts >= max_unanswered_starts {
             return;
         }
         if !std::mem::take(&mut self.room_changed) || self.waiting.is_empty() {
@@ -39,15 +40,15 @@
                 }
                 self.place_one(now, group.rank, wait, &mut memo);
                 cut = memo.looks >= LOOKS_PER_PASS;
-                if cut || self.starts_under_way >= starts_at_once {
+                if cut || self.unanswered_starts >= max_unanswered_starts {
                     // What is left is tried as soon as answers have come in.
                     self.room_changed = true;
                     break 'pass;
                 }
             }
         }
-        self.pass_left_some = !self.waiting.is_empty();
-        self.vain_tries = cut.then_some(memo.tries);
+        self.pass_left_tasks = !self.waiting.is_empty();
+        self.failed_placements = cut.then_some(memo.tries);
     }
 
     /// Begins a pass; one that follows a pass that was cut short doesn't try again what that found to fit nowhere, so that
@@ -57,9 +58,12 @@
         let order = self
             .worker_order
             .get_or_insert_with(|| workers.keys().cloned().collect());
-        let kept = self.vain_tries.take();
+        let kept = self.failed_placements.take();
         let kept = kept.filter(|tries| now < tries.since + ROUND_WITHIN_MS);
-        PassMemo::new(order.clone(), kept.unwrap_or_else(|| VainTries::new(now)))
+        PassMemo::new(
+            order.clone(),
+            kept.unwrap_or_else(|| FailedPlacements::new(now)),
+        )
     }
 
     /// The tasks that wait, job by job, the most urgent job first.
@@ -115,7 +119,7 @@
             starving,
             caution: self.caution_of(&key),
             guarded: rules.guarded,
-            fill: FillAsk {
+            fill: FillRequest {
                 urgency: FillUrgency::new(now, job.due, job.remaining_ms()),
                 image: self.images.get(&step.image),
                 cpu_millis: step.size.cpu_millis,
@@ -181,7 +185,7 @@
         let all = self.workers.len();
         let looks = match urgent {
             true => all,
-            false => self.backlog.places_looked_at(all),
+            false => self.backlog.placement_candidates(all),
         };
         let from = memo.looks % all.max(1);
         memo.looks += looks;
@@ -213,8 +217,8 @@
         let mut cost = place_cost(worker, candidate, taken);
         cost += self.caution_cost(now, worker, candidate);
         if candidate.step.fills {
-            let board = worker.board(&self.interference, &self.loads, now);
-            match fill_cost(board, &self.interference, candidate) {
+            let allocator = worker.fill_allocator(&self.interference, &self.load_history, now);
+            match fill_cost(allocator, &self.interference, candidate) {
                 Some(filling) => cost += filling,
                 None => return PlaceCost::NoPlace,
             }
@@ -280,7 +284,7 @@
         if candidate.only_rack.is_some() && candidate.only_rack != rack {
             return false;
         }
-        let left = self.room_left(now, id, worker, candidate.guarded);
+        let left = self.free_capacity(now, id, worker, candidate.guarded);
         let free = taken
             .iter()
             .fold(left, |free, size| free.saturating_minus(size));
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -5,7 +5,7 @@
 
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
-use crate::due::EndWorth;
+use crate::due::CompletionValue;
 use crate::ids::{JobNumber, TaskKey};
 use crate::job::JobState;
 use crate::scheduler::WaitKey;
@@ -101,7 +101,7 @@
 
 /// What was found to have no room since a time, so that like tasks are not tried again.
 #[derive(Clone, Debug)]
-pub(crate) struct VainTries {
+pub(crate) struct FailedPlacements {
     pub(crate) since: Millis,
     /// Steps, by their first task.
     pub(crate) steps: HashSet<TaskKey>,
@@ -109,7 +109,7 @@
     images: Vec<(String, ResourceSize)>,
 }
 
-impl VainTries {
+impl FailedPlacements {
     pub(crate) fn new(since: Millis) -> Self {
         Self {
             since,
@@ -123,7 +123,7 @@
 /// What one pass knows.
 pub(crate) struct PassMemo {
     /// What need not be tried.
-    pub(crate) tries: VainTries,
+    pub(crate) tries: FailedPlacements,
     pub(crate) helped: Vec<JobNumber>,
     pub(crate) costs: StepCosts,
     /// The workers in their order, by which costs are kept.
@@ -133,7 +133,7 @@
 }
 
 impl PassMemo {
-    pub(crate) fn new(order: Arc<[WorkerId]>, tries: VainTries) -> Self {
+    pub(crate) fn new(order: Arc<[WorkerId]>, tries: FailedPlacements) -> Self {
         Self {
             tries,
             helped: Vec::new(),
@@ -207,9 +207,9 @@
         RankTier::Starving
     } else if standing {
         RankTier::Standing
-    } else if worth == EndWorth::Nothing {
+    } else if worth == CompletionValue::Nothing {
         RankTier::Useless
-    } else if worth == EndWorth::Little {
+    } else if worth == CompletionValue::Little {
         RankTier::Late
     } else if begun {
         RankTier::Begun
--- a/crates/jobs/src/readings.rs
+++ b/crates/jobs/src/readings.rs
@@ -7,7 +7,7 @@
 use crate::guard::UNKNOWN_PACE;
 use crate::ids::TaskKey;
 use crate::images::ImageId;
-use crate::interference::{load_of_tail, InterferenceLoads};
+use crate::interference::{load_from_tail, InterferenceLoads};
 use crate::run::RunRecord;
 use crate::scheduler::JobScheduler;
 use crate::worker::WorkerState;
@@ -60,7 +60,7 @@
             continue;
         };
         let step = key.task.first_of_step();
-        let load = load_of_tail(tail as f64, record.target_ms as f64);
+        let load = load_from_tail(tail as f64, record.target_ms as f64);
         let reading = sums.entry(step).or_insert(StepReading {
             step,
             image: record.image,
@@ -110,7 +110,7 @@
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        state.forget_board();
+        state.discard_fill_allocator();
         let settled = now >= state.fills_changed_at + SETTLED_AFTER_MS;
         for record in state.runs.values_mut() {
             if settled {
@@ -139,7 +139,7 @@
         if fills.is_empty() {
             return;
         }
-        let expected = self.loads.forecast(&reading.step, now);
+        let expected = self.load_history.forecast(&reading.step, now);
         let pressure = self.interference.pressure(reading.image, fills);
         let raised_by = reading.seen / expected.load - 1.0;
         // A bounded tail says at least so much.
@@ -173,7 +173,7 @@
         let of_pressure = (reading.seen / (raised * raised)).powi(2) * uncertain;
         let of_reading = READING_DEVIATION * READING_DEVIATION / reading.count;
         let load = reading.seen / raised;
-        self.loads
+        self.load_history
             .note(now, &reading.step, load, of_pressure + of_reading);
     }
 }
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -47,7 +47,7 @@
             self.enqueue(now, *key);
         }
         for key in keys {
-            self.mend_gang(now, key);
+            self.stop_partial_gang(now, key);
         }
     }
 
--- a/crates/jobs/src/rooms.rs
+++ b/crates/jobs/src/rooms.rs
@@ -12,11 +12,11 @@
 
 /// What the tasks of jobs take that ended soon after a takeover, step by step: a worker may report their runs later.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EndedRooms {
+pub(crate) struct EndedJobSizes {
     by_job: HashMap<JobNumber, Vec<ResourceSize>>,
 }
 
-impl EndedRooms {
+impl EndedJobSizes {
     /// What a task of a job that has ended takes.
     pub(crate) fn of(&self, task: &TaskKey) -> Option<ResourceSize> {
         let steps = self.by_job.get(&task.job)?;
@@ -27,18 +27,18 @@
 impl JobScheduler {
     /// Keeps what the tasks of a job take that has ended, as long as workers may yet report its runs to a new owner. Without it such a run
     /// counted as nothing until it had stopped, and its worker was given more than it had.
-    pub(crate) fn keep_rooms(&mut self, now: Millis, number: JobNumber, spec: &JobSpec) {
+    pub(crate) fn keep_ended_sizes(&mut self, now: Millis, number: JobNumber, spec: &JobSpec) {
         if now < self.began_at + FOREIGN_MS {
             let rooms = spec.steps.iter().map(|step| step.room()).collect();
-            self.ended_rooms.by_job.insert(number, rooms);
+            self.ended_job_sizes.by_job.insert(number, rooms);
         }
     }
 
     /// Forgets what ended jobs take, and what became known of jobs that never came, once all that an earlier owner started has been
     /// reported.
-    pub(crate) fn forget_rooms(&mut self, now: Millis) {
+    pub(crate) fn forget_ended_sizes(&mut self, now: Millis) {
         if now >= self.began_at + FOREIGN_MS {
-            self.ended_rooms.by_job.clear();
+            self.ended_job_sizes.by_job.clear();
             self.crashes.forget_awaited();
         }
     }
@@ -48,7 +48,7 @@
     /// A worker that refuses what doesn't fit may be asked. Of one that starts whatever it is told nothing is assumed: where it runs what nobody
     /// knows the size of, it gets nothing; and where no list has come for long, or the store may just be back and the worker has not reported
     /// since, its room may have shrunk, so that only a part of it counts.
-    pub(crate) fn room_left(
+    pub(crate) fn free_capacity(
         &self,
         now: Millis,
         id: &WorkerId,
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -22,8 +22,8 @@
 use crate::load_forecast::LoadHistory;
 use crate::note::JobNote;
 use crate::progress::ProgressRow;
-use crate::rank::VainTries;
-use crate::rooms::EndedRooms;
+use crate::rank::FailedPlacements;
+use crate::rooms::EndedJobSizes;
 use crate::silent::{MarkBook, StoreClock};
 use crate::spec::{JobSpec, QueueRules};
 use crate::takeover::{Recovery, TakeoverInfo, FIRST_EPOCH};
@@ -115,24 +115,24 @@
     pub(crate) recovery: Option<Recovery>,
     pub(crate) began_at: Millis,
     pub(crate) foreign: ForeignRuns,
-    pub(crate) ended_rooms: EndedRooms,
+    pub(crate) ended_job_sizes: EndedJobSizes,
     pub(crate) quarantine: QuarantineBook,
     pub(crate) crashes: CrashBook,
     pub(crate) images: ImageTable,
     pub(crate) interference: InterferenceEstimate,
-    pub(crate) loads: LoadHistory,
+    pub(crate) load_history: LoadHistory,
     pub(crate) interference_written_at: Millis,
     pub(crate) room_changed: bool,
     pub(crate) last_pass: Millis,
     /// What the last pass need not have tried, where it was cut short.
-    pub(crate) vain_tries: Option<VainTries>,
+    pub(crate) failed_placements: Option<FailedPlacements>,
     pub(crate) workers_looked: Millis,
     /// Whether the last pass left tasks waiting.
-    pub(crate) pass_left_some: bool,
+    pub(crate) pass_left_tasks: bool,
     pub(crate) last_move: Millis,
     pub(crate) backlog: BacklogMonitor,
     /// Orders to start that were sent and have no answer yet.
-    pub(crate) starts_under_way: usize,
+    pub(crate) unanswered_starts: usize,
     pub(crate) last_tick: Millis,
     /// Until when this owner is sure that nobody has followed it; for ever before it is told.
     pub(crate) sure_until: Millis,
@@ -192,7 +192,7 @@
             marks: MarkBook::default(),
             began_at: info.claimed_at,
             foreign: ForeignRuns::default(),
-            ended_rooms: EndedRooms::default(),
+            ended_job_sizes: EndedJobSizes::default(),
             recovery: Some(Recovery {
                 unanswered: BTreeMap::new(),
                 until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
@@ -204,16 +204,16 @@
             crashes: CrashBook::default(),
             images: ImageTable::default(),
             interference: InterferenceEstimate::default(),
-            loads: LoadHistory::default(),
+            load_history: LoadHistory::default(),
             interference_written_at: 0,
             room_changed: false,
             last_pass: 0,
-            vain_tries: None,
+            failed_placements: None,
             workers_looked: 0,
-            pass_left_some: false,
+            pass_left_tasks: false,
             last_move: 0,
             backlog: BacklogMonitor::default(),
-            starts_under_way: 0,
+            unanswered_starts: 0,
             last_tick: 0,
             sure_until: Millis::MAX,
             unsure_since: None,
@@ -287,16 +287,16 @@
             JobEvent::WorkersListed(list) => self.take_list(now, list),
             JobEvent::StoreClock { at, at_most_ms } => self.store_clock.note(at, at_most_ms),
             JobEvent::QueuesChanged(queues) => self.queues = queues,
-            JobEvent::HallsEvacuated(halls) => self.take_evacuated(now, halls),
+            JobEvent::HallsEvacuated(halls) => self.apply_evacuated_halls(now, halls),
             JobEvent::StartAnswered(worker, key, answer) => {
-                self.starts_under_way = self.starts_under_way.saturating_sub(1);
+                self.unanswered_starts = self.unanswered_starts.saturating_sub(1);
                 self.take_start_answer(now, &worker, key, answer);
             }
             JobEvent::StopAnswered(worker, key, answer) => {
                 self.take_stop_answer(now, &worker, key, answer);
             }
             JobEvent::PaceAnswered(worker, key, answer) => {
-                self.take_pace_answer(now, &worker, key, answer);
+                self.handle_pace_answer(now, &worker, key, answer);
             }
             JobEvent::HoldAnswered(worker, answer) => self.take_hold(now, &worker, answer),
             JobEvent::Committed(id) => self.take_commit(now, id),
@@ -309,7 +309,7 @@
         self.wall_ms = wall_ms;
         if self.last_tick > 0 {
             self.backlog
-                .note_tick(now, now.saturating_sub(self.last_tick));
+                .record_tick(now, now.saturating_sub(self.last_tick));
         }
         self.last_tick = now;
         self.look_at_tenure(now);
@@ -325,13 +325,13 @@
             self.free_kept(now);
         }
         self.refresh_roster(now);
-        self.forget_rooms(now);
+        self.forget_ended_sizes(now);
         self.resend_stops(now);
         self.send_probes(now);
         if sure {
-            self.move_slowed(now);
+            self.move_slowed_tasks(now);
         }
-        self.loads.refresh(now, &self.backlog);
+        self.load_history.refresh(now, &self.backlog);
         // Readings change what serving tasks leave, and jobs grow late, without any event that frees room.
         self.room_changed |= now >= self.last_pass + PASS_EVERY_MS;
     }
@@ -379,7 +379,7 @@
         task.waiting_since = now;
         let task = job.queued_as(&key);
         let not_before = job.not_before(&key);
-        if gang && !self.gang_is_whole(&task) {
+        if gang && !self.whole_gang_waits(&task) {
             return;
         }
         if not_before > now {
@@ -394,7 +394,7 @@
         self.room_changed = true;
         // What has just come is tried at once, unless this owner is behind: a pass for each of 1,000 tasks a second looks at all
         // that wait before them.
-        self.pass_left_some &= !self.backlog.keeps_up();
+        self.pass_left_tasks &= !self.backlog.keeps_up();
     }
 
     /// Takes tasks out of the queue. All that wait are looked at, so that it is done only where something of the step or job
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -262,7 +262,7 @@
         }
         self.enqueue(now, key);
         if gang {
-            self.mend_gang(now, key);
+            self.stop_partial_gang(now, key);
         }
     }
 
--- a/crates/jobs/src/start.rs
+++ b/crates/jobs/src/start.rs
@@ -90,7 +90,7 @@
             state.fills_changed_at = now;
         }
         let resumed = checkpoint.is_some();
-        self.starts_under_way += 1;
+        self.unanswered_starts += 1;
         self.call(
             &worker,
             WorkerCall::Start(StartCall {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::{Millis, ResourceSize};
 
 use crate::crash::CrashSuspect;
-use crate::fill::FillBoard;
+use crate::fill::FillAllocator;
 use crate::ids::RunKey;
 use crate::interference::{InterferenceEstimate, InterferenceLoads};
 use crate::life::{ClockSight, LifeState};
@@ -76,7 +76,7 @@
     /// When what fills here last changed: a task came or went, or was given another pace.
     pub(crate) fills_changed_at: Millis,
     /// The tasks here as the dealing of shares sees them, from when they were first asked for after a change.
-    board: OnceCell<FillBoard>,
+    fill_allocator: OnceCell<FillAllocator>,
 }
 
 impl WorkerState {
@@ -107,24 +107,24 @@
             ordinary_cpu: 0,
             filling_cpu: 0,
             fills_changed_at: 0,
-            board: OnceCell::new(),
+            fill_allocator: OnceCell::new(),
         }
     }
 
     /// The tasks here as the dealing of shares sees them.
-    pub(crate) fn board(
+    pub(crate) fn fill_allocator(
         &self,
         interference: &InterferenceEstimate,
-        loads: &LoadHistory,
+        history: &LoadHistory,
         now: Millis,
-    ) -> &FillBoard {
-        self.board
-            .get_or_init(|| FillBoard::new(self, interference, loads, now))
+    ) -> &FillAllocator {
+        self.fill_allocator
+            .get_or_init(|| FillAllocator::new(self, interference, history, now))
     }
 
     /// Notes that the tasks here, or what is read of them, have changed.
-    pub(crate) fn forget_board(&mut self) {
-        self.board.take();
+    pub(crate) fn discard_fill_allocator(&mut self) {
+        self.fill_allocator.take();
     }
 
     /// Notes an answer of its present life.
@@ -296,7 +296,7 @@
     }
 
     fn recount(&mut self) {
-        self.forget_board();
+        self.discard_fill_allocator();
         let mut used = ResourceSize::default();
         let (mut ordinary, mut filling) = (0, 0);
         for record in self.runs.values() {
