--- a/crates/jobs/src/interference.rs
+++ b/crates/jobs/src/interference.rs
@@ -195,8 +195,8 @@
     }
 
     /// By which share the filling tasks raise the load of a serving image.
-    pub(crate) fn load_increase(&self, serving: ImageId, filling: &InterferenceLoads) -> f64 {
-        let parts = filling.loads.iter();
+    pub(crate) fn load_increase(&self, serving: ImageId, filling_loads: &InterferenceLoads) -> f64 {
+        let parts = filling_loads.loads.iter();
         parts
             .map(|(image, load)| self.coefficient(serving, *image) * load)
             .sum()
@@ -206,9 +206,9 @@
     pub(crate) fn load_increase_variance(
         &self,
         serving: ImageId,
-        filling: &InterferenceLoads,
+        filling_loads: &InterferenceLoads,
     ) -> f64 {
-        let parts = filling.loads.iter();
+        let parts = filling_loads.loads.iter();
         parts
             .map(|(image, load)| self.pair(serving, *image).variance * load * load)
             .sum()
@@ -221,11 +221,11 @@
         serving: ImageId,
         observed_increase: f64,
         variance: f64,
-        filling: &InterferenceLoads,
+        filling_loads: &InterferenceLoads,
     ) {
-        let error = observed_increase - self.load_increase(serving, filling);
-        let total = variance + self.load_increase_variance(serving, filling);
-        for (image, load) in &filling.loads {
+        let error = observed_increase - self.load_increase(serving, filling_loads);
+        let total = variance + self.load_increase_variance(serving, filling_loads);
+        for (image, load) in &filling_loads.loads {
             let coefficient = self.pair_mut(serving, *image);
             let gain = coefficient.variance * load / total;
             coefficient.mean = (coefficient.mean + gain * error).clamp(0.0, MAX_COEFFICIENT);
