--- a/crates/jobs/tests/strain.rs
+++ b/crates/jobs/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! An owner that is behind its work does less of what can wait.
+//! An owner that is behind its work defers what can wait.
 
 mod support;
 
@@ -6,100 +6,100 @@
 use sandshelf_model::{Millis, ResourceSize};
 use support::{ended, job, runs, step, task, SchedulerRig, WALL_START_MS};
 
-/// A rig whose owner has one worker, with one serving task at work there.
+/// An owner of one worker on which one serving task is running.
 fn serving_owner() -> (SchedulerRig, RunKey) {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
-    let serves = StepSpec {
+    let serving_step = StepSpec {
         standing: true,
         target_ms: 100,
         ..step(1)
     };
-    rig.hand_in(7, 0, job(vec![serves]));
+    rig.hand_in(7, 0, job(vec![serving_step]));
     let (_, start) = rig.take_starts().pop().expect("a start");
     rig.commit_all();
     (rig, start.key)
 }
 
-/// Lets the control thread tick so often, so far apart.
-fn tick(rig: &mut SchedulerRig, times: u32, apart: Millis) {
+/// Sends the scheduler this number of ticks, at this interval.
+fn tick(rig: &mut SchedulerRig, times: u32, interval_ms: Millis) {
     for _ in 0..times {
-        rig.now += apart;
+        rig.now += interval_ms;
         let wall_ms = WALL_START_MS + rig.now;
         rig.tell(JobEvent::Tick { wall_ms });
     }
 }
 
-/// Answers what is under way and returns the next look at the worker: how long after the answer it goes out, and how long
-/// the worker may wait.
-fn next_look(rig: &mut SchedulerRig, key: RunKey, apart: Millis) -> (Millis, Millis) {
+/// Answers pending calls, and returns the worker's next lease renewal: the time from the answer until it is sent, and how long the
+/// worker may wait with its answer.
+fn next_renewal(rig: &mut SchedulerRig, key: RunKey, interval_ms: Millis) -> (Millis, Millis) {
     rig.actions.clear();
     let answered = rig.now;
     rig.report("w-1", vec![runs(key)], vec![]);
     loop {
-        let look = rig.actions.iter().find_map(|action| match action {
+        let renewal = rig.actions.iter().find_map(|action| match action {
             JobAction::Call {
                 call: WorkerCall::Hold(hold),
                 ..
             } => Some(hold.wait_ms),
             _ => None,
         });
-        if let Some(wait_ms) = look {
+        if let Some(wait_ms) = renewal {
             return (rig.now - answered, wait_ms);
         }
-        tick(rig, 1, apart);
+        tick(rig, 1, interval_ms);
     }
 }
 
-fn a_prompt_owner_looks_again_at_once() {
+fn a_prompt_owner_renews_leases_at_once() {
     let (mut rig, key) = serving_owner();
     tick(&mut rig, 40, 25);
-    assert_eq!(next_look(&mut rig, key, 25), (0, 500));
+    assert_eq!(next_renewal(&mut rig, key, 25), (0, 500));
 }
 
-/// Before, an owner with an eighth of a core looked at 490 workers as often as one with half a core, and took none of
-/// their answers in.
-fn a_late_owner_looks_more_seldom() {
+/// Guards against an owner with an eighth of a core polling 490 workers as often as one with half a core does, and then processing
+/// none of their answers.
+fn a_late_owner_renews_leases_less_often() {
     let (mut rig, key) = serving_owner();
     tick(&mut rig, 60, 120);
-    let (gap, wait_ms) = next_look(&mut rig, key, 120);
+    let (gap, wait_ms) = next_renewal(&mut rig, key, 120);
     assert!(gap >= 900, "{gap} ms");
     assert_eq!(wait_ms, 2_000);
     assert!(
         gap + wait_ms <= 3_200,
-        "the lease of 4 s has to be prolonged in time"
+        "the lease of 4 s has to be renewed in time"
     );
 }
 
-fn an_owner_that_catches_up_looks_often_again() {
+fn an_owner_that_catches_up_renews_leases_at_once() {
     let (mut rig, key) = serving_owner();
     tick(&mut rig, 60, 120);
     tick(&mut rig, 600, 25);
-    assert_eq!(next_look(&mut rig, key, 25), (0, 500));
+    assert_eq!(next_renewal(&mut rig, key, 25), (0, 500));
 }
 
-/// Starts are what a late owner is short of: a standing task that has waited goes before jobs that come all the time, also
-/// where another task of its job is at work.
-fn a_waiting_standing_task_goes_first() {
+/// An owner that is behind can't start everything. A standing task that has waited goes before jobs that keep arriving, even while
+/// another task of its job is running.
+fn an_overdue_standing_task_goes_first() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
-    let whole = StepSpec {
+    let whole_worker = StepSpec {
         size: ResourceSize::new(16_000, 1_000, 0),
         ..step(1)
     };
-    rig.hand_in(1, 0, job(vec![whole.clone()]));
+    rig.hand_in(1, 0, job(vec![whole_worker.clone()]));
     let (busy, first) = rig.take_starts().pop().expect("a start");
-    let stands = StepSpec {
+    let standing_step = StepSpec {
         standing: true,
         count: 2,
-        ..whole.clone()
+        ..whole_worker.clone()
     };
-    rig.hand_in(7, 0, job(vec![stands]));
+    rig.hand_in(7, 0, job(vec![standing_step]));
     let (other, standing) = rig.take_starts().pop().expect("a start");
     for _ in 0..30 {
         rig.pass(100);
         rig.report(&busy, vec![runs(first.key)], vec![]);
         rig.report(&other, vec![runs(standing.key)], vec![]);
     }
-    rig.hand_in(2, 0, job(vec![whole]));
+    rig.hand_in(2, 0, job(vec![whole_worker]));
     rig.report(&busy, vec![], vec![ended(1, first.key, RunOutcome::Done)]);
     rig.pass(200);
     let starts = rig.peek_starts();
@@ -108,8 +108,8 @@
 }
 
 sandshelf_cases::cases! {
-    prompt_owner => a_prompt_owner_looks_again_at_once();
-    late_owner => a_late_owner_looks_more_seldom();
-    caught_up => an_owner_that_catches_up_looks_often_again();
-    overdue_standing => a_waiting_standing_task_goes_first();
+    prompt_owner => a_prompt_owner_renews_leases_at_once();
+    late_owner => a_late_owner_renews_leases_less_often();
+    caught_up => an_owner_that_catches_up_renews_leases_at_once();
+    overdue_standing => an_overdue_standing_task_goes_first();
 }
--- a/crates/jobs/tests/rooms.rs
+++ b/crates/jobs/tests/capacity.rs
@@ -1,7 +1,7 @@
-//! Rooms of workers that start whatever they are told.
+//! Free capacity of workers that start every task they are sent.
 //!
-//! What must hold: no start brings such a worker over what it has, also while its room shrinks, over a change of owner and without lists. Found by
-//! the emulator; each case here is one way that broke it, in the order of events that its seed showed.
+//! No start may bring such a worker over its capacity, not even while its capacity shrinks, after a change of owner or without lists
+//! of workers. Each case is one sequence of events that broke this in simulation.
 
 mod support;
 
@@ -12,12 +12,12 @@
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 use support::{job, listing, rules, runs, step, task, SchedulerRig};
 
-/// What a worker has, in thousandths of a core.
-const WHOLE: u64 = 16_000;
-/// After how long without a list a room may have shrunk unseen.
+/// The processors of a worker, in thousandths of a core.
+const CAPACITY_MILLIS: u64 = 16_000;
+/// After this time without a list of workers, the capacity of a worker may have shrunk unnoticed.
 const LONG_WITHOUT_LIST_MS: Millis = 3_000;
 
-/// A job of tasks that take so many thousandths of a core each, on workers that refuse nothing.
+/// A job of tasks that each take this many thousandths of a core, for workers that refuse nothing.
 fn unguarded(count: u32, cpu_millis: u64) -> JobSpec {
     JobSpec {
         rules: QueueRules {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A worker that has so many thousandths of a core.
+/// A worker with this many thousandths of a core.
 fn with_cpu(cpu_millis: u64) -> WorkerListing {
     WorkerListing {
         capacity: ResourceSize::new(cpu_millis, 64_000, 0),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Lists the worker for some time, and has it answer.
+/// Lists the worker and has it report, for three seconds.
 fn settle(rig: &mut SchedulerRig, entry: &WorkerListing, running: &[RunKey]) {
     for _ in 0..6 {
         rig.list_entries(vec![entry.clone()]);
@@ -59,7 +59,7 @@
     }
 }
 
-/// A new owner of one worker, which it has yet to hear of.
+/// A new owner of one worker from which it has not heard yet.
 fn successor() -> SchedulerRig {
     let info = TakeoverInfo {
         epoch: 2,
@@ -77,13 +77,13 @@
     SchedulerRig::new(info)
 }
 
-/// A worker reports the run of a job that was cancelled before: what that takes counts until it has stopped.
-fn a_cancelled_jobs_run_takes_room_until_it_has_stopped() {
+/// A worker reports the run of a job that was cancelled before. The run counts until it has stopped.
+fn a_cancelled_jobs_run_takes_capacity_until_it_has_stopped() {
     let mut rig = successor();
     rig.hand_in(7, 50, unguarded(1, 10_000));
     rig.tell(JobEvent::CancelAsked(JobNumber(7)));
     rig.hand_in(8, 60, unguarded(1, 10_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[key(7, 11)]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[key(7, 11)]);
     assert!(rig.take_starts().is_empty(), "10 and 10 of 16 cores");
     rig.report(
         "w-1",
@@ -98,18 +98,18 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A worker reports a run of a job that nobody has read yet: what it takes can't be known, so that nothing is added.
-fn nothing_joins_a_run_of_unknown_size() {
+/// A worker reports a run of a job that has not been read yet. Its size is unknown, so nothing is added.
+fn nothing_is_added_to_a_run_of_unknown_size() {
     let mut rig = successor();
     rig.hand_in(8, 60, unguarded(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[key(7, 11)]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[key(7, 11)]);
     assert!(rig.take_starts().is_empty());
 }
 
-/// Lists stop coming: from then on half of the room counts.
-fn half_of_a_room_counts_without_lists() {
+/// No more lists of workers arrive. From then on half of the capacity counts.
+fn half_of_the_capacity_counts_without_lists() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     for _ in 0..LONG_WITHOUT_LIST_MS / 500 {
         rig.report("w-1", vec![], vec![]);
         rig.pass(500);
@@ -119,29 +119,29 @@
     assert_eq!(rig.take_starts().len(), 8, "a core each of half of 16");
 }
 
-/// Lists come again after a while: each worker has yet to report what has become of its room.
-fn half_of_a_room_counts_right_after_the_store_is_back() {
+/// Lists arrive again after a pause. Each worker has yet to report how its capacity has changed.
+fn half_of_the_capacity_counts_right_after_the_store_is_back() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     for _ in 0..LONG_WITHOUT_LIST_MS / 500 {
         rig.report("w-1", vec![], vec![]);
         rig.pass(500);
     }
-    rig.list_entries(vec![with_cpu(WHOLE)]);
+    rig.list_entries(vec![with_cpu(CAPACITY_MILLIS)]);
     rig.hand_in(8, 200, unguarded(12, 1_000));
     rig.pass(100);
     assert_eq!(rig.take_starts().len(), 8);
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     assert!(
         rig.scheduler.counts(rig.now).waiting == 0,
         "all have started since"
     );
 }
 
-/// A room shrinks below what is at work there: nothing is added before it is whole again.
-fn a_room_that_has_shrunk_is_kept_to() {
+/// The capacity shrinks below what the running tasks take. Nothing is added before it is back at its full size.
+fn shrunk_capacity_is_not_exceeded() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     rig.hand_in(7, 200, unguarded(1, 9_000));
     rig.pass(100);
     let starts = rig.take_starts();
@@ -150,15 +150,16 @@
     rig.hand_in(8, 201, unguarded(1, 1_000));
     settle(&mut rig, &with_cpu(8_000), &running);
     assert!(rig.take_starts().is_empty(), "9 cores are in use of 8");
-    rig.list_entries(vec![with_cpu(WHOLE)]);
+    rig.list_entries(vec![with_cpu(CAPACITY_MILLIS)]);
     rig.pass(200);
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A look that the worker took in the millisecond of its answer to a stop, but before the start had reached it, says nothing of the run.
-fn a_look_of_the_same_millisecond_settles_no_stop() {
+/// A lease renewal that the worker received in the millisecond of its answer to a stop, but before the start had reached it, does
+/// not settle the run.
+fn a_renewal_of_the_same_millisecond_settles_no_stop() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     rig.hand_in(7, 200, unguarded(1, 10_000));
     rig.pass(100);
     let (_, start) = rig.take_starts().pop().expect("a start");
@@ -171,27 +172,27 @@
         start.key,
         OrderAnswer::Done(clock),
     ));
-    let look = |clock, running| HoldReport {
+    let report = |clock, running| HoldReport {
         life: None,
         clock,
         running,
         ended: vec![],
         carrier_late_ms: 0,
     };
-    let early = HoldAnswer::Report(look(clock, vec![]));
+    let early = HoldAnswer::Report(report(clock, vec![]));
     rig.tell(JobEvent::HoldAnswered(worker.clone(), early));
     rig.pass(50);
-    assert!(rig.take_starts().is_empty(), "the run may be at work still");
-    let later = HoldAnswer::Report(look(clock + 50, vec![]));
+    assert!(rig.take_starts().is_empty(), "the run may still be running");
+    let later = HoldAnswer::Report(report(clock + 50, vec![]));
     rig.tell(JobEvent::HoldAnswered(worker, later));
     rig.pass(50);
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// Workers that refuse what doesn't fit are asked: a stale list holds nobody up there.
-fn guarded_workers_are_asked_without_lists() {
+/// Workers that refuse what doesn't fit may be sent tasks, even if the list of workers is stale.
+fn guarded_workers_are_used_without_lists() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
-    settle(&mut rig, &with_cpu(WHOLE), &[]);
+    settle(&mut rig, &with_cpu(CAPACITY_MILLIS), &[]);
     for _ in 0..LONG_WITHOUT_LIST_MS / 500 {
         rig.report("w-1", vec![], vec![]);
         rig.pass(500);
@@ -202,11 +203,11 @@
 }
 
 sandshelf_cases::cases! {
-    cancelled_run => a_cancelled_jobs_run_takes_room_until_it_has_stopped();
-    unknown_run => nothing_joins_a_run_of_unknown_size();
-    no_lists => half_of_a_room_counts_without_lists();
-    lists_are_back => half_of_a_room_counts_right_after_the_store_is_back();
-    shrunk_room => a_room_that_has_shrunk_is_kept_to();
-    look_of_the_same_millisecond => a_look_of_the_same_millisecond_settles_no_stop();
-    guarded_without_lists => guarded_workers_are_asked_without_lists();
+    cancelled_run => a_cancelled_jobs_run_takes_capacity_until_it_has_stopped();
+    unknown_run => nothing_is_added_to_a_run_of_unknown_size();
+    no_lists => half_of_the_capacity_counts_without_lists();
+    lists_are_back => half_of_the_capacity_counts_right_after_the_store_is_back();
+    shrunk_capacity => shrunk_capacity_is_not_exceeded();
+    renewal_of_the_same_millisecond => a_renewal_of_the_same_millisecond_settles_no_stop();
+    guarded_without_lists => guarded_workers_are_used_without_lists();
 }
--- a/crates/jobs/tests/halls.rs
+++ b/crates/jobs/tests/halls.rs
@@ -1,4 +1,4 @@
-//! Halls that operators evacuate: nothing is started there, and what is at work stays.
+//! Halls that operators evacuate: no task is started there, and running tasks continue.
 
 mod support;
 
@@ -20,7 +20,7 @@
     vec![entry("w-1", "north"), entry("w-2", "south")]
 }
 
-/// An owner of a worker in each of two halls.
+/// An owner with one worker in each of two halls.
 fn owner() -> SchedulerRig {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.list_entries(entries());
@@ -32,13 +32,13 @@
     rig.tell(JobEvent::HallsEvacuated(halls));
 }
 
-/// The workers that tasks were started on since the last look.
-fn places(rig: &mut SchedulerRig) -> BTreeSet<String> {
+/// The workers on which tasks were started since the previous call.
+fn start_workers(rig: &mut SchedulerRig) -> BTreeSet<String> {
     let starts = rig.take_starts().into_iter();
     starts.map(|(worker, _)| worker).collect()
 }
 
-/// Time passes, and both workers say that nothing is at work.
+/// Lets time pass while both workers report no runs.
 fn pass_with_reports(rig: &mut SchedulerRig, millis: u64) {
     let until = rig.now + millis;
     while rig.now < until {
@@ -52,35 +52,35 @@
     BTreeSet::from([name.to_owned()])
 }
 
-fn everything_goes_to_the_other_hall() {
+fn tasks_go_to_the_other_hall() {
     let mut rig = owner();
     evacuate(&mut rig, &["north"]);
     rig.hand_in(1, 0, job(vec![step(10)]));
-    assert_eq!(places(&mut rig), only("w-2"));
+    assert_eq!(start_workers(&mut rig), only("w-2"));
 }
 
-/// Where all halls are evacuated jobs wait, and begin as soon as one is taken back.
-fn jobs_wait_for_a_hall() {
+/// While all halls are evacuated jobs wait; they start as soon as one hall is returned to service.
+fn jobs_wait_until_a_hall_is_returned() {
     let mut rig = owner();
     evacuate(&mut rig, &["north", "south"]);
     rig.hand_in(1, 0, job(vec![step(4)]));
     pass_with_reports(&mut rig, 3_000);
     assert!(rig.take_starts().is_empty());
     evacuate(&mut rig, &["north"]);
-    // The next pass over what waits comes with the next tick.
+    // The next placement pass comes with the next tick.
     rig.pass(25);
-    assert_eq!(places(&mut rig), only("w-2"));
+    assert_eq!(start_workers(&mut rig), only("w-2"));
 }
 
-/// A task at work goes on; what ends there without being done goes on elsewhere.
-fn what_is_at_work_stays() {
+/// A running task continues. When its run fails, the task is started in another hall.
+fn running_tasks_continue() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.list_entries(vec![entry("w-1", "north")]);
-    let stands = StepSpec {
+    let standing_step = StepSpec {
         standing: true,
         ..step(1)
     };
-    rig.hand_in(1, 0, job(vec![stands]));
+    rig.hand_in(1, 0, job(vec![standing_step]));
     let (_, start) = rig.take_starts().pop().expect("a start");
     rig.list_entries(entries());
     rig.report("w-2", vec![], vec![]);
@@ -93,11 +93,11 @@
     assert_eq!(rig.stops(), Vec::new());
     assert!(!rig.deadlines_of("w-1").is_empty());
     rig.report("w-1", vec![], vec![ended(1, start.key, RunOutcome::Failed)]);
-    assert_eq!(places(&mut rig), only("w-2"));
+    assert_eq!(start_workers(&mut rig), only("w-2"));
 }
 
-/// A worker that joins an evacuated hall gets nothing either, nor one that moves there under its name.
-fn workers_that_come_get_nothing() {
+/// A worker that joins an evacuated hall gets no tasks, nor does a worker that moves there under its name.
+fn joining_workers_get_no_tasks() {
     let mut rig = owner();
     evacuate(&mut rig, &["west"]);
     rig.list_entries(vec![
@@ -107,11 +107,11 @@
     ]);
     rig.report("w-3", vec![], vec![]);
     rig.hand_in(1, 0, job(vec![step(10)]));
-    assert_eq!(places(&mut rig), only("w-2"));
+    assert_eq!(start_workers(&mut rig), only("w-2"));
 }
 
-/// A new owner that is told before it begins starts nothing there, whatever it takes over.
-fn a_successor_keeps_to_it() {
+/// A new owner that learns of the evacuation before it takes over starts nothing there, whichever jobs it takes over.
+fn a_successor_starts_nothing_in_an_evacuated_hall() {
     let mut rig = SchedulerRig::new(second_owner(&["w-1", "w-2"]));
     evacuate(&mut rig, &["north"]);
     rig.hand_in(1, 50, job(vec![step(6)]));
@@ -119,22 +119,28 @@
     rig.report("w-1", vec![], vec![]);
     rig.report("w-2", vec![], vec![]);
     rig.pass(2_000);
-    assert_eq!(places(&mut rig), only("w-2"));
+    assert_eq!(start_workers(&mut rig), only("w-2"));
 }
 
-/// The log tells of both, and the figures of what still runs there.
-fn operators_are_told() {
+/// The evacuation and the return of a hall are logged, and the runs that continue there are counted.
+fn evacuations_are_logged_and_counted() {
     let mut rig = owner();
     rig.hand_in(1, 0, job(vec![step(4)]));
-    let there = rig.take_starts();
-    let there = there.iter().filter(|(worker, _)| worker == "w-1").count();
+    let evacuated_runs = rig.take_starts();
+    let evacuated_runs = evacuated_runs
+        .iter()
+        .filter(|(worker, _)| worker == "w-1")
+        .count();
     evacuate(&mut rig, &["north"]);
     let counts = rig.scheduler.counts(rig.now);
-    assert_eq!((counts.evacuated_halls, counts.evacuated_runs), (1, there));
+    assert_eq!(
+        (counts.evacuated_halls, counts.evacuated_runs),
+        (1, evacuated_runs)
+    );
     assert_eq!(counts.open_workers, 1);
     rig.pass(500);
     evacuate(&mut rig, &[]);
-    let told = rig.actions.iter().filter_map(|action| match action {
+    let logged = rig.actions.iter().filter_map(|action| match action {
         JobAction::Note(JobNote::HallEvacuated { hall, runs, .. }) => Some((hall.clone(), *runs)),
         JobAction::Note(JobNote::HallBack { hall, lasted_ms }) => {
             Some((hall.clone(), *lasted_ms as usize))
@@ -142,15 +148,18 @@
         _ => None,
     });
     let north = || HallId::from("north");
-    assert_eq!(told.collect::<Vec<_>>(), [(north(), there), (north(), 500)]);
+    assert_eq!(
+        logged.collect::<Vec<_>>(),
+        [(north(), evacuated_runs), (north(), 500)]
+    );
     assert_eq!(rig.scheduler.counts(rig.now).evacuated_halls, 0);
 }
 
 sandshelf_cases::cases! {
-    other_hall => everything_goes_to_the_other_hall();
-    all_halls => jobs_wait_for_a_hall();
-    at_work => what_is_at_work_stays();
-    joining_workers => workers_that_come_get_nothing();
-    successor => a_successor_keeps_to_it();
-    told => operators_are_told();
+    other_hall => tasks_go_to_the_other_hall();
+    all_halls => jobs_wait_until_a_hall_is_returned();
+    running_tasks => running_tasks_continue();
+    joining_workers => joining_workers_get_no_tasks();
+    successor => a_successor_starts_nothing_in_an_evacuated_hall();
+    logged => evacuations_are_logged_and_counted();
 }
--- a/crates/jobs/tests/kinds.rs
+++ b/crates/jobs/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of work: gangs, times, labels, racks, limits a worker, and how long finished jobs are kept.
+//! Kinds of work: gangs, repetitions, labels, limits per worker, standing tasks, and how long finished jobs are kept.
 
 mod support;
 
@@ -14,7 +14,7 @@
     }])
 }
 
-/// Two workers hold one member each: a gang of three waits as a whole, one of two starts under one number.
+/// Each of two workers has capacity for one member. A gang of three waits as a whole; a gang of two starts under one run number.
 fn a_gang_starts_together_or_not_at_all() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.hand_in(1, 0, gang_of(3));
@@ -30,32 +30,32 @@
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.hand_in(2, 0, gang_of(2));
     let starts = rig.take_starts();
-    let (lost, left) = (&starts[0], &starts[1]);
+    let (lost, other) = (&starts[0], &starts[1]);
     rig.pass(50);
     rig.report(
         &lost.0,
         vec![],
         vec![ended(1, lost.1.key, RunOutcome::Failed)],
     );
-    assert!(rig.stops().contains(&(left.0.clone(), left.1.key)));
+    assert!(rig.stops().contains(&(other.0.clone(), other.1.key)));
     rig.pass(100);
     assert!(
         rig.peek_starts().is_empty(),
-        "the other member is still at work"
+        "the other member is still running"
     );
     rig.report(
-        &left.0,
+        &other.0,
         vec![],
-        vec![ended(1, left.1.key, RunOutcome::Stopped)],
+        vec![ended(1, other.1.key, RunOutcome::Stopped)],
     );
     rig.pass(200);
     let again = rig.take_starts();
     assert_eq!(again.len(), 2);
     assert_eq!(again[0].1.key.run, again[1].1.key.run);
-    assert!(again[0].1.key.run > left.1.key.run);
+    assert!(again[0].1.key.run > other.1.key.run);
 }
 
-fn one_end_of_a_gang_stands_for_all() {
+fn the_end_of_one_member_ends_the_gang() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.hand_in(2, 0, gang_of(2));
     let starts = rig.take_starts();
@@ -72,8 +72,8 @@
     assert!(done.into_iter().any(|(_, row)| row.stage.is_final()));
 }
 
-/// Each time starts when it is due by the time of day, not before.
-fn times_start_when_they_are_due() {
+/// Each repetition starts when it is due by wall clock time, not before.
+fn repetitions_start_when_they_are_due() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.pass(25);
     let first_due_ms = WALL_START_MS + rig.now + 1_000;
@@ -92,19 +92,19 @@
     rig.pass(950);
     assert!(rig.peek_starts().is_empty(), "nothing is due yet");
     rig.pass(100);
-    let times: Vec<u32> = rig
+    let repetitions: Vec<u32> = rig
         .take_starts()
         .iter()
         .map(|(_, call)| call.key.task.time)
         .collect();
-    assert_eq!(times, vec![0]);
+    assert_eq!(repetitions, vec![0]);
     rig.pass(500);
-    let times: Vec<u32> = rig
+    let repetitions: Vec<u32> = rig
         .take_starts()
         .iter()
         .map(|(_, call)| call.key.task.time)
         .collect();
-    assert_eq!(times, vec![1], "times may overlap");
+    assert_eq!(repetitions, vec![1], "repetitions may overlap");
 }
 
 fn a_label_is_required() {
@@ -120,19 +120,19 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-fn no_more_than_allowed_on_one_worker() {
+fn tasks_per_worker_are_limited() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
-    let apart = StepSpec {
+    let limited = StepSpec {
         most_per_worker: 2,
         ..step(3)
     };
-    rig.hand_in(1, 0, job(vec![apart]));
+    rig.hand_in(1, 0, job(vec![limited]));
     rig.pass(200);
     assert_eq!(rig.take_starts().len(), 2);
 }
 
-/// An order without an answer is settled by a stop before the task starts again.
-fn an_unanswered_start_is_settled_first() {
+/// The run of an unanswered start is stopped, and the stop settled, before the task starts again.
+fn an_unanswered_start_is_stopped_before_the_next() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.hand_in(1, 0, job(vec![step(1)]));
     let (worker, start) = rig.peek_starts().pop().expect("a start");
@@ -153,7 +153,7 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// An end is acknowledged only once it is durable.
+/// The end of a run is acknowledged only once it is durable.
 fn an_end_is_acknowledged_after_its_write() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(1, 0, job(vec![step(1)]));
@@ -175,14 +175,14 @@
 }
 
 fn last_seen(rig: &SchedulerRig) -> Vec<u64> {
-    let holds = rig.actions.iter().filter_map(|action| match action {
+    let renewals = rig.actions.iter().filter_map(|action| match action {
         sandshelf_jobs::JobAction::Call {
             call: sandshelf_jobs::WorkerCall::Hold(hold),
             ..
         } => Some(hold.last_seen),
         _ => None,
     });
-    holds.collect()
+    renewals.collect()
 }
 
 fn a_cancelled_jobs_tasks_are_stopped() {
@@ -193,7 +193,7 @@
     assert_eq!(rig.stops(), vec![(worker, start.key)]);
 }
 
-fn a_standing_task_starts_again_however_it_ends() {
+fn a_standing_task_restarts_after_each_failure() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     let standing = StepSpec {
         standing: true,
@@ -232,8 +232,8 @@
     assert_eq!(forgotten(&mut rig), vec![task(1, 0, 0).job]);
 }
 
-/// Numbers of waiting jobs that change right after a write, when no other is due, are published by a later one.
-fn waiting_jobs_are_published_late_rather_than_never() {
+/// When the numbers of waiting jobs change right after a write and no other write is due, a later write publishes them.
+fn waiting_counts_are_published_late_rather_than_never() {
     let mut rig = SchedulerRig::new(TakeoverInfo::first(1, 1_000));
     let mut published = None;
     let mut write = |rig: &mut SchedulerRig| {
@@ -246,7 +246,7 @@
     rig.hand_in(1, 0, job(vec![step(1)]));
     rig.pass(600);
     write(&mut rig);
-    // A new worker is written down at once; the next job comes before another write is due.
+    // A new worker is written at once; the next job arrives before another write is due.
     rig.list(&["w-1"]);
     write(&mut rig);
     rig.hand_in(2, 0, job(vec![step(1)]));
@@ -260,7 +260,7 @@
     );
 }
 
-/// A worker that failed what it was given is tried again within seconds, also while standing tasks are at work there.
+/// A worker that failed its tasks is tried again within seconds, even while standing tasks are running there.
 fn a_worker_that_failed_is_tried_again_soon() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     let standing = StepSpec {
@@ -268,29 +268,29 @@
         ..step(1)
     };
     rig.hand_in(50, 0, job(vec![standing]));
-    let (_, at_work) = rig.take_starts().pop().expect("a start");
+    let (_, running) = rig.take_starts().pop().expect("a start");
     for number in 1..4 {
         rig.hand_in(number, 0, job(vec![step(1)]));
         let (_, start) = rig.take_starts().pop().expect("a start");
         rig.pass(25);
         let failed = ended(number, start.key, RunOutcome::Failed);
-        rig.report("w-1", vec![runs(at_work.key)], vec![failed]);
+        rig.report("w-1", vec![runs(running.key)], vec![failed]);
         rig.tell(sandshelf_jobs::JobEvent::CancelAsked(start.key.task.job));
     }
     rig.hand_in(9, 0, job(vec![step(1)]));
     rig.pass(1_000);
     assert!(
         rig.peek_starts().is_empty(),
-        "the worker is left alone for a while"
+        "the worker is quarantined for a while"
     );
     for _ in 0..4 {
-        rig.report("w-1", vec![runs(at_work.key)], vec![]);
+        rig.report("w-1", vec![runs(running.key)], vec![]);
         rig.pass(500);
     }
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// What a worker reports of a run twice, or of one that it was never asked for, starts nothing.
+/// A reported run of an unknown job is stopped.
 fn an_unknown_run_is_stopped() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.pass(16_000);
@@ -302,8 +302,8 @@
     assert_eq!(rig.stops(), vec![("w-1".to_owned(), unknown)]);
 }
 
-/// Tasks that fit no worker, however many and however long they have waited, hold up nobody.
-fn what_fits_nowhere_holds_up_nobody() {
+/// Tasks that fit no worker don't block others, whatever their number and however long they have waited.
+fn tasks_that_fit_nowhere_block_no_others() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     let nowhere = StepSpec {
         label: Some("nowhere".to_owned()),
@@ -322,8 +322,9 @@
     assert_eq!(starts.len(), 1, "the job that fits starts at once");
 }
 
-/// A worker that leaves without a word serves on for a while: what is started there then would die with it.
-fn workers_that_lists_omit_get_nothing_new() {
+/// A worker that leaves without notice keeps answering for a while. Tasks started there after it is missing from a list would be
+/// lost with it.
+fn workers_missing_from_lists_get_no_tasks() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     let list = |rig: &mut SchedulerRig, names: &[&str], times: u32| {
         for _ in 0..times {
@@ -340,8 +341,8 @@
     assert_eq!(places, ["w-1"; 4], "w-2 is about to leave");
 }
 
-/// Entries that lapsed while the store was away come back within two seconds.
-fn lists_may_omit_workers_after_the_store_was_away() {
+/// Entries that expired during a store outage return within two seconds.
+fn workers_missing_after_a_store_outage_get_tasks() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.pass(4_000);
     rig.list(&["w-1"]);
@@ -353,21 +354,21 @@
 }
 
 sandshelf_cases::cases! {
-    omitted_by_lists => workers_that_lists_omit_get_nothing_new();
-    omitted_after_outage => lists_may_omit_workers_after_the_store_was_away();
-    fits_nowhere => what_fits_nowhere_holds_up_nobody();
+    omitted_by_lists => workers_missing_from_lists_get_no_tasks();
+    omitted_after_outage => workers_missing_after_a_store_outage_get_tasks();
+    fits_nowhere => tasks_that_fit_nowhere_block_no_others();
     gang_whole => a_gang_starts_together_or_not_at_all();
     gang_again => a_gang_that_loses_a_member_starts_again_whole();
-    gang_done => one_end_of_a_gang_stands_for_all();
-    times => times_start_when_they_are_due();
+    gang_done => the_end_of_one_member_ends_the_gang();
+    repetitions => repetitions_start_when_they_are_due();
     label => a_label_is_required();
-    limit_a_worker => no_more_than_allowed_on_one_worker();
-    unanswered_start => an_unanswered_start_is_settled_first();
+    tasks_per_worker => tasks_per_worker_are_limited();
+    unanswered_start => an_unanswered_start_is_stopped_before_the_next();
     acknowledged_end => an_end_is_acknowledged_after_its_write();
     cancelled => a_cancelled_jobs_tasks_are_stopped();
-    standing => a_standing_task_starts_again_however_it_ends();
+    standing => a_standing_task_restarts_after_each_failure();
     forgotten => a_finished_job_is_forgotten_in_time();
-    waiting_published => waiting_jobs_are_published_late_rather_than_never();
+    waiting_published => waiting_counts_are_published_late_rather_than_never();
     quarantine => a_worker_that_failed_is_tried_again_soon();
     unknown_run => an_unknown_run_is_stopped();
 }
--- a/crates/jobs/tests/order.rs
+++ b/crates/jobs/tests/order.rs
@@ -1,4 +1,4 @@
-//! In what order tasks are started, and which worker each goes to.
+//! The order in which tasks are started, and the choice of their workers.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 const SERVING_CPU: u64 = 3_000;
 
-/// A standing step whose answer times are watched; five of its tasks fill a worker's processors.
+/// A standing step with a latency target; five of its tasks fill a worker's processors.
 fn serving(count: u32, image: &str) -> StepSpec {
     StepSpec {
         standing: true,
@@ -19,61 +19,68 @@
     }
 }
 
-/// The workers that the tasks of a job are started on, sorted.
-fn places(rig: &mut SchedulerRig, number: u64, spec: JobSpec) -> Vec<String> {
+/// The workers on which the tasks of a job are started, sorted.
+fn start_workers(rig: &mut SchedulerRig, number: u64, spec: JobSpec) -> Vec<String> {
     rig.hand_in(number, 0, spec);
-    let mut places: Vec<String> = rig.take_starts().into_iter().map(|start| start.0).collect();
-    places.sort();
-    places
+    let mut start_workers: Vec<String> =
+        rig.take_starts().into_iter().map(|start| start.0).collect();
+    start_workers.sort();
+    start_workers
 }
 
-fn serving_tasks_of_one_job_stand_together() {
+fn serving_tasks_of_one_job_share_a_worker() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2", "w-3"]);
-    let first = places(&mut rig, 1, job(vec![serving(4, "web")]));
+    let first = start_workers(&mut rig, 1, job(vec![serving(4, "web")]));
     assert_eq!(first.len(), 4);
     assert_eq!(first[0], first[3], "{first:?}");
-    let second = places(&mut rig, 2, job(vec![serving(4, "web")]));
-    assert_eq!(second[0], first[0], "one fits beside the first job");
+    let second = start_workers(&mut rig, 2, job(vec![serving(4, "web")]));
+    assert_eq!(
+        second[0], first[0],
+        "one fits on the worker of the first job"
+    );
     assert_eq!(second[1], second[3], "{second:?}");
 }
 
-fn images_are_not_mixed_while_there_is_room() {
+fn images_are_not_mixed_while_capacity_lasts() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
-    let first = places(&mut rig, 1, job(vec![serving(1, "web")]));
-    let second = places(&mut rig, 2, job(vec![serving(1, "mail")]));
+    let first = start_workers(&mut rig, 1, job(vec![serving(1, "web")]));
+    let second = start_workers(&mut rig, 2, job(vec![serving(1, "mail")]));
     assert_ne!(first, second);
 }
 
-fn serving_tasks_leave_workers_to_filling_ones() {
+fn serving_tasks_leave_workers_to_filling_tasks() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2", "w-3"]);
-    let first = places(&mut rig, 1, job(vec![serving(2, "web")]));
-    let second = places(&mut rig, 2, job(vec![serving(2, "web")]));
-    assert_eq!(first, second, "there is room beside the first job");
+    let first = start_workers(&mut rig, 1, job(vec![serving(2, "web")]));
+    let second = start_workers(&mut rig, 2, job(vec![serving(2, "web")]));
+    assert_eq!(
+        first, second,
+        "the worker of the first job has free capacity"
+    );
 }
 
-/// Ordinary tasks give their room back soon: where both wait, they go before standing ones.
-fn ordinary_tasks_go_before_standing_ones() {
+/// Ordinary tasks give their capacity back soon. Where both wait, ordinary tasks start before standing ones.
+fn ordinary_tasks_go_before_standing_tasks() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
-    let whole = |standing: bool| StepSpec {
+    let whole_worker = |standing: bool| StepSpec {
         standing,
         size: ResourceSize::new(16_000, 1_000, 0),
         ..step(1)
     };
-    rig.hand_in(1, 0, job(vec![whole(false)]));
-    let held = rig.take_starts().pop().expect("a start").1.key;
-    rig.hand_in(2, 0, job(vec![whole(true)]));
-    rig.hand_in(3, 0, job(vec![whole(false)]));
+    rig.hand_in(1, 0, job(vec![whole_worker(false)]));
+    let running = rig.take_starts().pop().expect("a start").1.key;
+    rig.hand_in(2, 0, job(vec![whole_worker(true)]));
+    rig.hand_in(3, 0, job(vec![whole_worker(false)]));
     assert!(rig.take_starts().is_empty(), "the worker is full");
     rig.pass(200);
-    let end = support::ended(1, held, sandshelf_jobs::RunOutcome::Done);
+    let end = support::ended(1, running, sandshelf_jobs::RunOutcome::Done);
     rig.report("w-1", vec![], vec![end]);
-    // While tasks are left waiting, passes are a few milliseconds apart.
+    // While tasks are left waiting, placement passes are a few milliseconds apart.
     rig.pass(25);
     let next = rig.take_starts().pop().expect("a start").1.key;
     assert_eq!(next.task.job.0, 3);
 }
 
-/// A new owner knows when each job was handed in: one whose end is of no use any more goes last.
+/// A new owner knows when each job was submitted: a job whose end has no value any more goes last.
 fn a_new_owner_knows_how_late_a_job_is() {
     let info = TakeoverInfo {
         epoch: 2,
@@ -83,16 +90,16 @@
         ..TakeoverInfo::default()
     };
     let mut rig = SchedulerRig::new(info);
-    let whole = StepSpec {
+    let whole_worker = StepSpec {
         size: ResourceSize::new(16_000, 1_000, 0),
         ..step(1)
     };
-    let handed_in = |seconds: u64| JobSpec {
+    let submitted = |seconds: u64| JobSpec {
         handed_in_ms: WALL_START_MS + seconds * 1_000,
-        ..job(vec![whole.clone()])
+        ..job(vec![whole_worker.clone()])
     };
-    rig.hand_in(1, 50, handed_in(0));
-    rig.hand_in(2, 51, handed_in(60));
+    rig.hand_in(1, 50, submitted(0));
+    rig.hand_in(2, 51, submitted(60));
     rig.list(&["w-1"]);
     rig.report("w-1", vec![], vec![]);
     let first = rig.take_starts().pop().expect("a start").1.key;
@@ -117,41 +124,48 @@
     }
 }
 
-/// What disturbs little gets its share first, also beside a more urgent task that disturbs much.
-fn what_disturbs_little_goes_first() {
+/// A weakly interfering task gets its share first, even alongside a more urgent task that interferes strongly.
+fn weak_interference_goes_first() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(1, 0, job(vec![serving(1, "web")]));
-    let served = rig.take_starts().pop().expect("a start").1.key;
+    let serving_key = rig.take_starts().pop().expect("a start").1.key;
     rig.pass(500);
-    rig.report("w-1", vec![measured(served, 100, 20)], vec![]);
-    rig.hand_in(2, 0, job(vec![filling("loud")]));
-    let loud = rig.take_starts().pop().expect("a start").1.key;
-    let beside = |tail| vec![measured(served, 100, tail), measured(loud, 10, 4_000)];
+    rig.report("w-1", vec![measured(serving_key, 100, 20)], vec![]);
+    rig.hand_in(2, 0, job(vec![filling("strong")]));
+    let strong = rig.take_starts().pop().expect("a start").1.key;
+    let reports = |tail| {
+        vec![
+            measured(serving_key, 100, tail),
+            measured(strong, 10, 4_000),
+        ]
+    };
     for _ in 0..3 {
         rig.pass(500);
-        rig.report("w-1", beside(45), vec![]);
+        rig.report("w-1", reports(45), vec![]);
     }
-    rig.hand_in(3, 0, job(vec![filling("soft")]));
+    rig.hand_in(3, 0, job(vec![filling("weak")]));
     rig.pass(100);
-    let soft = rig
+    let weak = rig
         .take_starts()
         .pop()
-        .expect("it starts beside the other")
+        .expect("it starts on the same worker")
         .1
         .key;
-    assert_eq!(soft.task.job.0, 3);
+    assert_eq!(weak.task.job.0, 3);
     rig.pass(400);
-    rig.report("w-1", beside(45), vec![]);
+    rig.report("w-1", reports(45), vec![]);
     let paces = rig.paces();
     assert!(
-        paces.iter().any(|(key, pace)| *key == loud && *pace < 100),
+        paces
+            .iter()
+            .any(|(key, pace)| *key == strong && *pace < 100),
         "{paces:?}"
     );
-    assert!(paces.iter().all(|(key, _)| *key != soft), "{paces:?}");
+    assert!(paces.iter().all(|(key, _)| *key != weak), "{paces:?}");
 }
 
-/// An order that waits for the owner's processor comes to the worker too late: what is not answered bounds what is sent.
-fn starts_without_an_answer_are_bounded() {
+/// A start order that waits for the owner's processor reaches the worker too late, so the number of unanswered starts is bounded.
+fn unanswered_starts_are_bounded() {
     let names: Vec<String> = (1..=100).map(|number| format!("w-{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut rig = SchedulerRig::with_workers(&names);
@@ -166,11 +180,11 @@
 }
 
 sandshelf_cases::cases! {
-    starts_bounded => starts_without_an_answer_are_bounded();
-    packed_by_job => serving_tasks_of_one_job_stand_together();
-    packed_by_image => images_are_not_mixed_while_there_is_room();
-    workers_left_free => serving_tasks_leave_workers_to_filling_ones();
-    ordinary_before_standing => ordinary_tasks_go_before_standing_ones();
+    starts_bounded => unanswered_starts_are_bounded();
+    packed_by_job => serving_tasks_of_one_job_share_a_worker();
+    packed_by_image => images_are_not_mixed_while_capacity_lasts();
+    workers_left_free => serving_tasks_leave_workers_to_filling_tasks();
+    ordinary_before_standing => ordinary_tasks_go_before_standing_tasks();
     age_after_takeover => a_new_owner_knows_how_late_a_job_is();
-    weak_first => what_disturbs_little_goes_first();
+    weak_first => weak_interference_goes_first();
 }
--- a/crates/jobs/tests/overload.rs
+++ b/crates/jobs/tests/overload.rs
@@ -1,4 +1,4 @@
-//! A load of filling jobs that serving tasks leave too little for: how many of their callers are served in time.
+//! More filling jobs than fit alongside the serving tasks: how many of them end in time.
 
 mod support;
 
@@ -11,42 +11,42 @@
 use sandshelf_model::{Millis, ResourceSize};
 use support::{job, step, SchedulerRig};
 
-/// How many workers there are, of 16 cores each, with one serving task on each.
+/// The number of workers, of 16 cores each, with one serving task on each.
 const WORKERS: usize = 8;
-/// The load of a serving task without what fills, and how strongly that raises it for each whole worker's processors.
+/// The load of a serving task without filling tasks, and the interference coefficient of the filling image.
 const SERVING_LOAD: f64 = 0.5;
-const STRENGTH: f64 = 4.0;
-/// The tail of an idle serving task and its target, in milliseconds.
+const COEFFICIENT: f64 = 4.0;
+/// The tail latency of an idle serving task, and its target, in milliseconds.
 const IDLE_TAIL_MS: f64 = 10.0;
 const TARGET_MS: Millis = 50;
-/// What a filling task uses, and how long it works at full pace: two of them find room beside each serving task.
-const FILL_MILLIS: u64 = 1_200;
-const WORK_MS: f64 = 1_000.0;
-/// A filling job has two steps of four such tasks, so that there is room for two jobs a second.
-const TASKS_A_STEP: u32 = 4;
-const ROOM_JOBS_PER_S: f64 = 2.0;
-/// For how long jobs come.
+/// The processors of a filling task, and its run time at full pace: two filling tasks fit alongside each serving task.
+const FILL_CPU_MILLIS: u64 = 1_200;
+const FILL_RUN_MS: f64 = 1_000.0;
+/// A filling job has two steps of four such tasks each, so that two jobs a second fit.
+const TASKS_PER_STEP: u32 = 4;
+const CAPACITY_JOBS_PER_S: f64 = 2.0;
+/// For how long jobs are submitted.
 const TRAFFIC_MS: Millis = 30_000;
 const TICK_MS: Millis = 25;
-/// What part of the jobs that there is room for has to be served in time, however many come.
-const SERVED_IN_OVERLOAD: f64 = 0.65;
-/// How often a worker tells what it has.
-const REPORT_MS: Millis = 500;
+/// The share of the jobs that fit that has to end in time, whatever the number of submitted jobs.
+const MIN_IN_TIME_SHARE: f64 = 0.65;
+/// The interval between two reports of a worker.
+const REPORT_INTERVAL_MS: Millis = 500;
 
-/// A filling task at work.
+/// A running filling task.
 struct FillingRun {
     done_ms: f64,
     pace: u32,
 }
 
-/// What callers got.
+/// The numbers of jobs that ended in time and late.
 #[derive(Debug, Default)]
 struct CallerCounts {
     in_time: usize,
     late: usize,
 }
 
-/// Workers whose serving tasks are disturbed by what fills beside them.
+/// Workers whose serving tasks are slowed by filling tasks.
 struct DisturbedFleet {
     rig: SchedulerRig,
     serving: Vec<Option<RunKey>>,
@@ -55,12 +55,12 @@
     counts: CallerCounts,
 }
 
-fn name(worker: usize) -> String {
+fn worker_name(worker: usize) -> String {
     format!("w-{}", worker + 1)
 }
 
-fn place(name: &str) -> usize {
-    let number = name.trim_start_matches("w-").parse::<usize>();
+fn worker_index(worker_name: &str) -> usize {
+    let number = worker_name.trim_start_matches("w-").parse::<usize>();
     number.expect("a worker's number") - 1
 }
 
@@ -69,7 +69,7 @@
         standing: true,
         target_ms: TARGET_MS,
         image: "web".to_owned(),
-        // Most of each worker is in use, as declared.
+        // The declared sizes use most of each worker.
         size: ResourceSize::new(12_000, 45_000, 0),
         most_per_worker: 1,
         ..step(WORKERS as u32)
@@ -80,34 +80,34 @@
     StepSpec {
         fills: true,
         image: "index".to_owned(),
-        size: ResourceSize::new(FILL_MILLIS, 500, 0),
-        estimate_ms: WORK_MS as Millis,
+        size: ResourceSize::new(FILL_CPU_MILLIS, 500, 0),
+        estimate_ms: FILL_RUN_MS as Millis,
         after,
-        ..step(TASKS_A_STEP)
+        ..step(TASKS_PER_STEP)
     }
 }
 
 impl DisturbedFleet {
-    /// Starts with a serving task on each worker, and an owner that knows how strongly it is disturbed.
+    /// Starts a serving task on each worker, with an owner that knows the interference coefficient.
     fn new() -> Self {
-        let learnt = InterferencePair {
+        let learned = InterferencePair {
             serving: "web".to_owned(),
             filling: "index".to_owned(),
-            mean: STRENGTH,
+            mean: COEFFICIENT,
             variance: 0.01,
         };
         let info = TakeoverInfo {
             interference: InterferenceRow {
-                pairs: vec![learnt],
+                pairs: vec![learned],
             },
             ..TakeoverInfo::first(1, 1_000)
         };
         let mut rig = SchedulerRig::new(info);
-        let names: Vec<String> = (0..WORKERS).map(name).collect();
+        let names: Vec<String> = (0..WORKERS).map(worker_name).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         rig.list(&names);
-        for name in &names {
-            rig.report(name, vec![], vec![]);
+        for worker_name in &names {
+            rig.report(worker_name, vec![], vec![]);
         }
         rig.hand_in(1, 0, job(vec![serving_step()]));
         let mut fleet = Self {
@@ -124,12 +124,12 @@
         fleet
     }
 
-    /// What the serving task on a worker shows for its tail.
+    /// The tail latency that the serving task on a worker reports.
     fn tail(&self, worker: usize) -> u64 {
-        let pressure = self.filling[worker]
+        let filling_shares = self.filling[worker]
             .values()
-            .map(|run| f64::from(run.pace) / 100.0 * FILL_MILLIS as f64 / 16_000.0);
-        let load = SERVING_LOAD * (1.0 + STRENGTH * pressure.sum::<f64>());
+            .map(|run| f64::from(run.pace) / 100.0 * FILL_CPU_MILLIS as f64 / 16_000.0);
+        let load = SERVING_LOAD * (1.0 + COEFFICIENT * filling_shares.sum::<f64>());
         (IDLE_TAIL_MS / (1.0 - load.min(0.99))) as u64
     }
 
@@ -144,21 +144,21 @@
         let filling = self.filling[worker].iter().map(|(key, run)| RunReport {
             key: *key,
             checkpoint: None,
-            percent: (run.done_ms / WORK_MS * 100.0) as u32,
-            gauge: Some(FILL_MILLIS * u64::from(run.pace) / 100),
+            percent: (run.done_ms / FILL_RUN_MS * 100.0) as u32,
+            gauge: Some(FILL_CPU_MILLIS * u64::from(run.pace) / 100),
         });
         let running = serving.into_iter().chain(filling).collect();
-        self.rig.report(&name(worker), running, ended);
+        self.rig.report(&worker_name(worker), running, ended);
     }
 
-    /// The filling tasks go on, and those that are done end.
+    /// Advances the filling tasks on a worker; those that are done end.
     fn work(&mut self, worker: usize) -> Vec<EndReport> {
         let mut ended = Vec::new();
         for run in self.filling[worker].values_mut() {
             run.done_ms += TICK_MS as f64 * f64::from(run.pace) / 100.0;
         }
         self.filling[worker].retain(|key, run| {
-            let done = run.done_ms >= WORK_MS;
+            let done = run.done_ms >= FILL_RUN_MS;
             if done {
                 self.ends[worker] += 1;
                 ended.push(EndReport {
@@ -173,18 +173,18 @@
         ended
     }
 
-    /// Carries out what the owner has ordered since the last look.
-    fn carry_out(&mut self) {
+    /// Applies the actions of the scheduler since the previous call.
+    fn apply_actions(&mut self) {
         for (worker, start) in self.rig.take_starts() {
-            let worker = place(&worker);
+            let worker = worker_index(&worker);
             if start.key.task.job.0 == 1 {
                 self.serving[worker] = Some(start.key);
             } else {
-                let begun = FillingRun {
+                let run = FillingRun {
                     done_ms: 0.0,
                     pace: 100,
                 };
-                self.filling[worker].insert(start.key, begun);
+                self.filling[worker].insert(start.key, run);
             }
         }
         for (key, pace) in self.rig.paces() {
@@ -215,45 +215,46 @@
 
     fn tick(&mut self) {
         self.rig.pass(TICK_MS);
-        self.carry_out();
+        self.apply_actions();
         for worker in 0..WORKERS {
             let ended = self.work(worker);
-            let due = (self.rig.now / TICK_MS + worker as u64).is_multiple_of(REPORT_MS / TICK_MS);
+            let due = (self.rig.now / TICK_MS + worker as u64)
+                .is_multiple_of(REPORT_INTERVAL_MS / TICK_MS);
             if due || !ended.is_empty() {
                 self.report(worker, ended);
-                self.carry_out();
+                self.apply_actions();
             }
         }
     }
 }
 
 /// Jobs come at a multiple of what there is room for; a share of those that there is room for has to be served in time.
-fn jobs_are_served_in_time(load: f64, least_share: f64) {
+fn enough_jobs_end_in_time(load: f64, least_share: f64) {
     let mut fleet = DisturbedFleet::new();
-    let per_tick = load * ROOM_JOBS_PER_S * TICK_MS as f64 / 1_000.0;
-    let (mut owed, mut handed) = (0.0, 0);
+    let per_tick = load * CAPACITY_JOBS_PER_S * TICK_MS as f64 / 1_000.0;
+    let (mut due_jobs, mut submitted) = (0.0, 0);
     for _ in 0..TRAFFIC_MS / TICK_MS {
-        owed += per_tick;
-        while owed >= 1.0 {
-            owed -= 1.0;
-            handed += 1;
+        due_jobs += per_tick;
+        while due_jobs >= 1.0 {
+            due_jobs -= 1.0;
+            submitted += 1;
             let steps = vec![filling_step(vec![]), filling_step(vec![0])];
-            fleet.rig.hand_in(100 + handed, 0, job(steps));
+            fleet.rig.hand_in(100 + submitted, 0, job(steps));
         }
         fleet.tick();
     }
     for _ in 0..400 {
         fleet.tick();
     }
-    let room = ROOM_JOBS_PER_S * TRAFFIC_MS as f64 / 1_000.0;
-    let possible = room.min(handed as f64);
+    let capacity_jobs = CAPACITY_JOBS_PER_S * TRAFFIC_MS as f64 / 1_000.0;
+    let possible = capacity_jobs.min(submitted as f64);
     let CallerCounts { in_time, late } = fleet.counts;
-    println!("{in_time} in time, {late} late of {handed}; room for {room}");
+    println!("{in_time} in time, {late} late of {submitted}; capacity for {capacity_jobs}");
     assert!(in_time as f64 >= least_share * possible);
 }
 
 sandshelf_cases::cases! {
-    room_for_all => jobs_are_served_in_time(0.6, 0.95);
-    a_third_too_many => jobs_are_served_in_time(1.33, SERVED_IN_OVERLOAD);
-    twice_as_many => jobs_are_served_in_time(2.0, SERVED_IN_OVERLOAD);
+    within_capacity => enough_jobs_end_in_time(0.6, 0.95);
+    a_third_over_capacity => enough_jobs_end_in_time(1.33, MIN_IN_TIME_SHARE);
+    twice_the_capacity => enough_jobs_end_in_time(2.0, MIN_IN_TIME_SHARE);
 }
--- a/crates/jobs/tests/guard.rs
+++ b/crates/jobs/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Filling tasks beside serving ones.
+//! Paces of filling tasks on the same worker as serving tasks.
 
 mod support;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// One worker with a serving and a filling task, both at work.
+/// One worker on which a serving and a filling task are running.
 fn pair() -> (SchedulerRig, RunKey, RunKey) {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(1, 0, job(vec![serving()]));
@@ -43,23 +43,24 @@
     (rig, serving, filling)
 }
 
-fn last_pace(rig: &SchedulerRig, of: RunKey) -> Option<u32> {
+fn last_pace(rig: &SchedulerRig, run: RunKey) -> Option<u32> {
     let paces = rig.actions.iter().rev();
     paces
         .filter_map(|action| match action {
             JobAction::Call {
                 call: WorkerCall::Pace(key, percent),
                 ..
-            } if *key == of => Some(*percent),
+            } if *key == run => Some(*percent),
             _ => None,
         })
         .next()
 }
 
-/// Whatever was learnt: a task that stays over its target has nothing filling beside it after a second and a half.
-fn a_task_over_its_target_is_left_alone() {
+/// A serving task that stays over its target stops the filling tasks on its worker within a second and a half, whatever the
+/// interference estimate says.
+fn filling_stops_beside_a_task_over_its_target() {
     let (mut rig, serving, filling) = pair();
-    // A load that jumps around keeps the estimate from ever predicting enough.
+    // An oscillating load keeps the estimate from ever predicting a high enough load.
     for tail in [12, 60, 11, 55, 51, 52, 51, 53] {
         rig.pass(500);
         rig.report(
@@ -71,7 +72,7 @@
     assert_eq!(last_pace(&rig, filling), Some(0));
 }
 
-fn a_task_well_under_its_target_leaves_the_rest_at_full_pace() {
+fn filling_runs_at_full_pace_beside_a_task_under_its_target() {
     let (mut rig, serving, filling) = pair();
     for _ in 0..6 {
         rig.pass(500);
@@ -84,8 +85,8 @@
     assert!(matches!(last_pace(&rig, filling), None | Some(100)));
 }
 
-/// What one owner learnt of a pair, the next one knows from the start.
-fn a_new_owner_knows_what_was_learnt() {
+/// A new owner starts with the interference that the earlier one learned.
+fn a_new_owner_keeps_learned_interference() {
     let (mut rig, serving, filling) = pair();
     for _ in 0..12 {
         rig.pass(500);
@@ -101,14 +102,14 @@
             vec![],
         );
     }
-    let learnt = rig
+    let learned = rig
         .commit_all()
         .into_iter()
         .filter_map(|batch| batch.interference)
         .last();
-    let learnt = learnt.expect("strengths are written");
-    assert_eq!(learnt.pairs.len(), 1);
-    let pair = &learnt.pairs[0];
+    let learned = learned.expect("interference is written");
+    assert_eq!(learned.pairs.len(), 1);
+    let pair = &learned.pairs[0];
     assert_eq!(
         (pair.serving.as_str(), pair.filling.as_str()),
         ("web", "index")
@@ -116,7 +117,7 @@
     let info = TakeoverInfo {
         epoch: 2,
         claimed_at: 1_000,
-        interference: learnt.clone(),
+        interference: learned.clone(),
         ..TakeoverInfo::default()
     };
     let mut next = SchedulerRig::new(info);
@@ -124,16 +125,16 @@
     next.now = 5_000;
     next.list(&["w-1"]);
     next.pass(25);
-    let handed_on = next
+    let kept_by_new_owner = next
         .commit_all()
         .into_iter()
         .filter_map(|batch| batch.interference)
         .last();
-    assert_eq!(handed_on, Some(learnt));
+    assert_eq!(kept_by_new_owner, Some(learned));
 }
 
 sandshelf_cases::cases! {
-    handed_on => a_new_owner_knows_what_was_learnt();
-    over_target => a_task_over_its_target_is_left_alone();
-    under_target => a_task_well_under_its_target_leaves_the_rest_at_full_pace();
+    kept_by_new_owner => a_new_owner_keeps_learned_interference();
+    over_target => filling_stops_beside_a_task_over_its_target();
+    under_target => filling_runs_at_full_pace_beside_a_task_under_its_target();
 }
--- a/crates/jobs/tests/queues.rs
+++ b/crates/jobs/tests/queues.rs
@@ -1,9 +1,9 @@
-//! Which queue a request is for.
+//! The lookup of the queue for a request.
 
 use proptest::prelude::*;
 use sandshelf_jobs::{QueueEntry, QueueRules, QueueTable};
 
-/// A request's host name and path.
+/// The host name and path of a request.
 type Request<'a> = (&'a str, &'a str);
 
 fn queue(name: usize, hostname: &str, path_prefix: &str) -> QueueEntry {
@@ -21,8 +21,8 @@
     QueueTable::new(1, 1_000, queues.collect())
 }
 
-/// The queue with the longest prefix, by a look at each; of equals the last.
-fn find_by_looking<'a>(
+/// Finds the queue with the longest prefix by a scan of all queues; among equal prefixes the last one.
+fn find_by_scan<'a>(
     queues: &'a [QueueEntry],
     hostname: &str,
     path: &'a str,
@@ -35,7 +35,7 @@
     Some((longest, &path[longest.path_prefix.len()..]))
 }
 
-/// Finds the queue of a number with a rest of the path, or none.
+/// Checks that a request finds the queue with this index and this rest of the path, or none.
 fn finds(queues: &[Request<'_>], request: Request<'_>, expected: Option<(usize, &str)>) {
     let table = table(queues);
     let found = table.find(request.0, request.1);
@@ -47,9 +47,9 @@
 }
 
 proptest! {
-    /// The same is found as by a look at each queue, among few letters so that prefixes of prefixes abound.
+    /// Finds the same queue as a scan of all queues. Few letters are used, so that prefixes of prefixes are frequent.
     #[test]
-    fn chooses_as_by_looking(
+    fn finds_the_same_as_a_scan(
         queues in prop::collection::vec(("[aA]?b", "/?[aé/]{0,5}"), 0..12),
         hostname in "[aA]?[bB]",
         path in "/?[aé/]{0,8}",
@@ -61,19 +61,19 @@
         let name = |found: Option<(&QueueEntry, &str)>| {
             found.map(|(queue, rest)| (queue.name.clone(), rest.to_owned()))
         };
-        let expected = find_by_looking(&queues, &hostname, &path);
+        let expected = find_by_scan(&queues, &hostname, &path);
         prop_assert_eq!(name(table.find(&hostname, &path)), name(expected));
     }
 }
 
 sandshelf_cases::cases! {
     longest_prefix => finds(&[("a", "/"), ("a", "/x/"), ("a", "/x/y")], ("a", "/x/z"), Some((1, "z")));
-    prefix_behind_a_nearer_one => finds(&[("a", "/x"), ("a", "/x/m"), ("a", "/x/n")], ("a", "/x/z"), Some((0, "/z")));
+    shorter_prefix_before_a_nearer_one => finds(&[("a", "/x"), ("a", "/x/m"), ("a", "/x/n")], ("a", "/x/z"), Some((0, "/z")));
     whole_path => finds(&[("a", "/x/")], ("a", "/x/"), Some((0, "")));
     empty_prefix => finds(&[("a", ""), ("a", "/x/")], ("a", "/y"), Some((0, "/y")));
-    last_of_equals => finds(&[("a", "/x/"), ("A", "/x/")], ("a", "/x/1"), Some((1, "1")));
+    last_of_equal_prefixes => finds(&[("a", "/x/"), ("A", "/x/")], ("a", "/x/1"), Some((1, "1")));
     host_name_in_any_case => finds(&[("One.Example", "/")], ("oNE.example", "/1"), Some((0, "1")));
     other_host => finds(&[("a", "/")], ("b", "/1"), None);
     path_shorter_than_all => finds(&[("a", "/x/")], ("a", "/x"), None);
-    letters_of_several_bytes => finds(&[("a", "/é"), ("a", "/ê/")], ("a", "/éa"), Some((0, "a")));
+    multi_byte_characters => finds(&[("a", "/é"), ("a", "/ê/")], ("a", "/éa"), Some((0, "a")));
 }
--- a/crates/jobs/tests/story.rs
+++ b/crates/jobs/tests/summary.rs
@@ -1,4 +1,4 @@
-//! A job's story in a few figures a step.
+//! The summary of a job: counts and times for each step.
 
 use sandshelf_jobs::{
     JobNote, JobNumber, JobStage, JobSummaries, LossCause, RunKey, RunOutcome, TaskKey,
@@ -46,9 +46,9 @@
     }
 }
 
-/// A job of two steps that lost time to a failed run, and then to a wait for room.
-fn tells_each_step() {
-    let mut stories = JobSummaries::default();
+/// A job of two steps that lost time to a failed run, and then to a wait for free capacity.
+fn summarises_each_step() {
+    let mut summaries = JobSummaries::default();
     let events = [
         (1_010, placed(key(0, 0, 1), 10)),
         (1_020, placed(key(0, 1, 1), 20)),
@@ -59,9 +59,9 @@
         (2_000, placed(key(1, 0, 1), 600)),
     ];
     for (now, note) in &events {
-        assert_eq!(stories.note(*now, note), None);
+        assert_eq!(summaries.note(*now, note), None);
     }
-    stories.note(
+    summaries.note(
         2_500,
         &JobNote::RunLost {
             key: key(1, 0, 1),
@@ -70,43 +70,43 @@
             heard_ms: None,
         },
     );
-    let story = stories.note(3_000, &finished(2_000));
+    let summary = summaries.note(3_000, &finished(2_000));
     let expected = "0.0:runs=3,done=2,failed=1,stopped=0,lost=0,start=10..210ms,wait=20ms,end=400ms,last=w-3 \
                     0.1:runs=1,done=0,failed=0,stopped=0,lost=1,start=1000..1000ms,wait=600ms,end=0ms";
-    assert_eq!(story.as_deref(), Some(expected));
-    assert_eq!(stories.open_jobs(), 0);
+    assert_eq!(summary.as_deref(), Some(expected));
+    assert_eq!(summaries.open_jobs(), 0);
 }
 
-/// A job that was cancelled before anything began has a story without steps.
-fn tells_a_job_that_never_began() {
-    let mut stories = JobSummaries::default();
-    assert_eq!(stories.note(9, &finished(5)).as_deref(), Some(""));
+/// A job that was cancelled before any task started has an empty summary.
+fn summarises_a_job_without_starts() {
+    let mut summaries = JobSummaries::default();
+    assert_eq!(summaries.note(9, &finished(5)).as_deref(), Some(""));
 }
 
-/// However many steps and repetitions a job has, and however wide they are, its story stays short.
-fn stays_short() {
-    let mut stories = JobSummaries::default();
+/// The length of a summary is bounded, whatever the number of steps, repetitions and tasks of the job.
+fn summary_length_is_bounded() {
+    let mut summaries = JobSummaries::default();
     for step in 0..2_000 {
         for index in 0..20 {
-            stories.note(1_000_000, &placed(key(step, index, 1), 1_000_000));
-            stories.note(
+            summaries.note(1_000_000, &placed(key(step, index, 1), 1_000_000));
+            summaries.note(
                 1_000_000,
                 &ended(key(step, index, 1), "i-0123456789", RunOutcome::Done),
             );
         }
     }
-    let story = stories
+    let summary = summaries
         .note(1_000_000, &finished(1_000_000))
-        .expect("a story");
-    assert!(story.len() < 32 * 150, "{} bytes", story.len());
+        .expect("a summary");
+    assert!(summary.len() < 32 * 150, "{} bytes", summary.len());
     assert!(
-        story.contains("runs=39380"),
-        "what comes behind counts with the last"
+        summary.contains("runs=39380"),
+        "further steps are counted in the last one"
     );
 }
 
 sandshelf_cases::cases! {
-    each_step => tells_each_step();
-    never_began => tells_a_job_that_never_began();
-    short => stays_short();
+    each_step => summarises_each_step();
+    no_starts => summarises_a_job_without_starts();
+    bounded_length => summary_length_is_bounded();
 }
