--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -165,34 +165,28 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SpecFault::StepCount(count) => {
-                write!(
-                    formatter,
-                    "{count} steps; between 1 and {MAX_STEPS} are allowed"
-                )
+                write!(formatter, "{count} steps; 1 to {MAX_STEPS} are taken")
             }
             SpecFault::TaskCount { step, count } => {
                 write!(
                     formatter,
-                    "step {step} has {count} tasks; between 1 and {MAX_TASKS} are allowed"
+                    "step {step} has {count} tasks; 1 to {MAX_TASKS} are taken"
                 )
             }
             SpecFault::StepOrder { step, after } => {
                 write!(
                     formatter,
-                    "step {step} waits for step {after}; steps can only wait for earlier ones"
+                    "step {step} waits for step {after}; name an earlier step"
                 )
             }
             SpecFault::PayloadSize(bytes) => {
                 write!(
                     formatter,
-                    "payload of {bytes} bytes; the maximum is {MAX_PAYLOAD_BYTES}"
+                    "a text of {bytes} bytes; {MAX_PAYLOAD_BYTES} at most"
                 )
             }
             SpecFault::Repetitions(count) => {
-                write!(
-                    formatter,
-                    "{count} repetitions; the maximum is {MAX_REPETITIONS}"
-                )
+                write!(formatter, "{count} repetitions; {MAX_REPETITIONS} at most")
             }
         }
     }
