--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -1,4 +1,4 @@
-//! What becomes of orders: answers of workers, and their silence.
+//! Handles the answers of workers to orders, and orders that got no answer.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -14,7 +14,7 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Takes in the answer to an order to start.
+    /// Handles the answer to a start order.
     pub(crate) fn take_start_answer(
         &mut self,
         now: Millis,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// When the order to start a run went out; one that is not known any more may have been sent long ago.
+    /// When the start order of a run was sent. An order that is not known any more may have been
+    /// sent long ago.
     fn start_asked(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
         let state = self.workers.get(worker);
         let record = state.and_then(|state| state.runs.get(key));
@@ -92,7 +93,7 @@
         self.guard_worker(now, worker);
     }
 
-    /// Notes that some task of the job has begun.
+    /// Records that a task of the job has begun.
     pub(crate) fn note_begun(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes in the answer to an order to stop.
+    /// Handles the answer to a stop order.
     pub(crate) fn take_stop_answer(
         &mut self,
         now: Millis,
@@ -128,7 +129,7 @@
             }
             OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
             OrderAnswer::Unreachable => self.check_left(now, worker),
-            // It is sent again.
+            // The stop order is sent again.
             OrderAnswer::Unhealthy
             | OrderAnswer::Invalid
             | OrderAnswer::NotSent
@@ -136,7 +137,8 @@
         }
     }
 
-    /// A stop was answered; what a life that is not known answers says nothing of the one that it was meant for.
+    /// Handles a stop that was answered. An answer of an unknown incarnation says nothing about the
+    /// incarnation that the order was meant for.
     fn stop_answered(&mut self, now: Millis, worker: &WorkerId, key: RunKey, clock: u64) {
         let record = self.record_mut(worker, &key);
         let asked = match record.map(|record| record.phase) {
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -1,4 +1,5 @@
-//! What is written durably, and when: many jobs in one write, and the numbers of waiting jobs beside them.
+//! Builds commits: the progress of many jobs in one write, together with the counts of waiting
+//! jobs.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Begins a write where one is wanted and none is under way.
+    /// Starts a commit if there is something to write and no commit is in flight.
     pub(crate) fn begin_commit(&mut self, now: Millis) {
         if self.commit.is_some() {
             return;
@@ -28,7 +29,7 @@
         if !due {
             return;
         }
-        // What is taken out here is written in any case: there is no way back behind this line.
+        // Everything that is taken from here on must be written: it can't be put back.
         let pending = self.changed_pending(now);
         let forget = self.outdated_jobs(now);
         let silent = self.changed_marks(now, self.commit_count + 1);
@@ -78,7 +79,8 @@
         }));
     }
 
-    /// What is learnt of images, where it was last written some time ago; it goes along with other writes.
+    /// What was learnt about images, if it was last written long enough ago. It is only written
+    /// along with other changes.
     fn due_strengths(&mut self, now: Millis) -> Option<StrengthRow> {
         if now < self.strengths_at + STRENGTHS_EVERY_MS {
             return None;
@@ -87,7 +89,8 @@
         Some(self.press.to_row(&self.images)).filter(|row| !row.pairs.is_empty())
     }
 
-    /// Jobs that ended long ago, a few at a time; they stay known here until the write is asked for.
+    /// A limited number of jobs that ended long ago. They stay known here until the write is
+    /// requested.
     fn outdated_jobs(&mut self, now: Millis) -> Vec<JobNumber> {
         let old = |at: Millis| now > at + self.limits.keep_finished_ms;
         let count = self.finished_at.iter().take(FORGET_AT_ONCE);
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Nothing waits to be written: all ends that were taken in may be acknowledged.
+    /// Acknowledges all processed ends, since no change waits to be written.
     fn acknowledge_all(&mut self, now: Millis) {
         let gap = self.strain.hold_gap_ms();
         for ends in self.noted_ends() {
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Takes in that a write took effect: its ends may be acknowledged.
+    /// Handles a commit that took effect: its ends may be acknowledged.
     pub(crate) fn take_commit(&mut self, now: Millis, id: u64) {
         let Some(commit) = self.commit.take_if(|commit| commit.id == id) else {
             return;
@@ -153,7 +156,7 @@
         let gap = self.strain.hold_gap_ms();
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
-            // Numbers of a life that is over say nothing of the one that has begun since.
+            // End numbers of an earlier incarnation don't apply to the current one.
             let Some(state) = state.filter(|state| state.life.name == ends.life) else {
                 continue;
             };
@@ -164,7 +167,7 @@
         }
     }
 
-    /// The numbers of waiting jobs, where they changed and are due to be published.
+    /// The counts of waiting jobs by queue, if they changed and may be published again.
     fn changed_pending(&mut self, now: Millis) -> Option<BTreeMap<String, u64>> {
         if self.state_pending || now < self.pending_at + PENDING_EVERY_MS {
             return None;
--- a/crates/jobs/src/crash/book.rs
+++ b/crates/jobs/src/crash/book.rs
@@ -1,4 +1,4 @@
-//! Which tasks have crashes noted, and which workers are kept for their next start.
+//! The tasks with recorded crashes, and the workers that are reserved for their next start.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
 use crate::limits::{HERD_MS, SOUND_AGAIN_MS, UNEXPLAINED_KEPT_MS};
 
-/// A life of a worker that is taken as crashed.
+/// An incarnation of a worker that is presumed to have crashed.
 #[derive(Clone, Debug)]
 pub(super) struct BlamedLife {
     pub(super) life: Option<WorkerLife>,
-    /// The runs that this was noted with.
+    /// The runs under which the crash was recorded.
     pub(super) runs: Vec<RunKey>,
 }
 
-/// A crash under a task whose job has yet to be read.
+/// A crash under a task whose job has not been read yet.
 #[derive(Clone, Debug)]
 pub(super) struct AwaitedCrash {
     pub(super) worker: WorkerId,
@@ -25,46 +25,49 @@
     pub(super) note: CrashNote,
 }
 
-/// Tasks under which workers crashed, and workers that are kept for their next start.
+/// The tasks under which workers crashed, and the workers that are reserved for their next start.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashBook {
-    /// Tasks with a crash that is noted.
+    /// The tasks with a recorded crash.
     pub(super) noted: BTreeSet<TaskKey>,
-    /// Those of them whose newest note is not durable yet.
+    /// The tasks whose newest crash note is not durable yet.
     pub(super) unwritten: BTreeSet<TaskKey>,
-    /// Workers on which nothing but one task may be started, until when that is so while the task waits.
+    /// Workers on which only one task may be started, with the task and the time at which the
+    /// reservation lapses if the task is still waiting.
     pub(super) kept: BTreeMap<WorkerId, (TaskKey, Millis)>,
-    /// Probes to be sent, and when.
+    /// Probes to be sent, by time.
     pub(super) probes: BTreeSet<(Millis, WorkerId, RunKey)>,
-    /// Runs noted with workers that fell silent and are not known to have crashed: the same life may yet answer.
+    /// Crashes recorded for workers that became silent and are not known to have crashed: the same
+    /// incarnation may still answer.
     pub(super) blamed: BTreeMap<WorkerId, BlamedLife>,
-    /// Crashes that became known before the jobs were read.
+    /// Crashes that were found before the jobs were read.
     pub(super) awaited: Vec<AwaitedCrash>,
-    /// Where workers crashed lately, and when.
+    /// Where and when workers crashed recently.
     crashed_at: BTreeMap<SocketAddr, Millis>,
-    /// When workers were last heard that went down with nothing unproven on them.
+    /// The times at which workers were last heard from that went down without an uncleared run on
+    /// them.
     unexplained: Vec<Millis>,
 }
 
 impl CrashBook {
-    /// Whether a task may be started on a worker, as far as another is not to be alone there.
+    /// Whether a task may be started on a worker: the worker is not reserved for another task.
     pub(crate) fn lets_start(&self, worker: &WorkerId, task: &TaskKey) -> bool {
         self.kept
             .get(worker)
             .is_none_or(|(kept_for, _)| kept_for == task)
     }
 
-    /// Notes that a task was restored with crashes.
+    /// Records that a task was restored with crash notes.
     pub(crate) fn note_restored(&mut self, task: TaskKey) {
         self.noted.insert(task);
     }
 
-    /// Forgets crashes under tasks whose jobs were not among those that were read.
+    /// Discards crashes under tasks whose jobs were not among those that were read.
     pub(crate) fn forget_awaited(&mut self) {
         self.awaited.clear();
     }
 
-    /// Forgets a job that has come to its end.
+    /// Discards the data of a job that has ended.
     pub(crate) fn forget_job(&mut self, job: JobNumber) {
         self.noted.retain(|task| task.job != job);
         self.unwritten.retain(|task| task.job != job);
@@ -75,38 +78,39 @@
         });
     }
 
-    /// Whether a worker crashed lately at an address.
+    /// Whether a worker at this address crashed recently.
     pub(crate) fn crashed_lately(&self, now: Millis, address: &SocketAddr) -> bool {
         let at = self.crashed_at.get(address);
         at.is_some_and(|at| now < at + SOUND_AGAIN_MS)
     }
 
-    /// Notes that a worker went down which was last heard then, and on which nothing was unproven.
+    /// Records that a worker went down that was last heard from at `heard_at`, and on which no run
+    /// was uncleared.
     pub(super) fn note_unexplained(&mut self, now: Millis, heard_at: Millis) {
         self.unexplained.retain(|at| now < at + UNEXPLAINED_KEPT_MS);
         self.unexplained.push(heard_at);
     }
 
-    /// How many such workers were last heard at about a time.
+    /// How many such workers were last heard from at about this time.
     pub(super) fn unexplained_near(&self, heard_at: Millis) -> usize {
         let near = self.unexplained.iter();
         near.filter(|at| at.abs_diff(heard_at) <= HERD_MS).count()
     }
 
-    /// Forgets a task that is proven, or whose notes were withdrawn.
+    /// Discards a task that is cleared or whose crash notes were withdrawn.
     pub(super) fn clear(&mut self, task: &TaskKey) {
         self.noted.remove(task);
         self.unwritten.remove(task);
         self.kept.retain(|_, (kept_for, _)| kept_for != task);
     }
 
-    /// Notes that a worker crashed at an address.
+    /// Records that a worker at this address crashed.
     pub(super) fn note_place(&mut self, now: Millis, address: SocketAddr) {
         self.crashed_at.retain(|_, at| now < *at + SOUND_AGAIN_MS);
         self.crashed_at.insert(address, now);
     }
 
-    /// Takes out the tasks of these jobs whose notes are about to be written.
+    /// Removes and returns the tasks of these jobs whose crash notes are about to be written.
     pub(crate) fn take_unwritten(&mut self, jobs: &[JobNumber]) -> Vec<TaskKey> {
         if self.unwritten.is_empty() {
             return Vec::new();
--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -1,4 +1,4 @@
-//! How tasks with crashes are started, and how a run of theirs is proven.
+//! How tasks with crash notes are started, and how a run of them is cleared.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -13,19 +13,20 @@
 use crate::worker::WorkerState;
 
 impl JobScheduler {
-    /// With how much caution a task is started.
+    /// The caution with which a task is started.
     pub(crate) fn caution_of(&self, task: &TaskKey) -> StartCaution {
         let noted = self.noted_task(task);
         noted.map_or(StartCaution::Usual, |noted| noted.crashes.caution())
     }
 
-    /// How long after the start of a task's run its worker has to be heard for the run to be proven.
+    /// How long after the start of a task's run its worker has to be heard from for the run to be
+    /// cleared, in milliseconds.
     pub(super) fn proof_ms(&self, task: &TaskKey) -> Millis {
         let noted = self.noted_task(task);
         noted.map_or(PROVEN_AFTER_MS, |noted| noted.crashes.proof_ms())
     }
 
-    /// A task with crashes that are noted.
+    /// The state of a task if it has crash notes.
     fn noted_task(&self, task: &TaskKey) -> Option<&TaskState> {
         if !self.crashes.noted.contains(task) {
             return None;
@@ -33,11 +34,12 @@
         self.jobs.get(&task.job)?.task(task)
     }
 
-    /// The runs that began so short a time before their worker was last heard that its crash may have to do with them, and those lost
-    /// with it before.
+    /// The runs that began shortly enough before their worker was last heard from to be related to
+    /// its crash, and the suspects inherited with the worker.
     ///
-    /// An order without an answer may have been carried out. But where another run there is unproven, that one explains why nothing was
-    /// heard any more; and of several the first was the last that the worker can have begun.
+    /// An order without an answer may have been carried out. If another run there is uncleared,
+    /// that run explains the silence. Otherwise only the unanswered order that was sent first
+    /// counts: it is the last one that the worker can have carried out.
     pub(crate) fn crash_suspects(&self, worker: &WorkerState) -> Vec<CrashSuspect> {
         let mut suspects = self.begun_suspects(worker);
         if !suspects.iter().any(|suspect| self.is_unproven(suspect)) {
@@ -46,14 +48,14 @@
         suspects
     }
 
-    /// Whether nothing that had begun on a worker can have brought it down. Orders without an answer say nothing here: they go to a worker that is
-    /// down until that is noticed.
+    /// Whether no run that had begun on a worker can have brought it down. Orders without an answer
+    /// are no evidence here: they are sent to a worker that is down until that is noticed.
     pub(super) fn is_unexplained(&self, worker: &WorkerState) -> bool {
         let suspects = self.begun_suspects(worker);
         !suspects.iter().any(|suspect| self.is_unproven(suspect))
     }
 
-    /// Those of the suspects that the worker is known to have begun.
+    /// The suspects that the worker is known to have started.
     fn begun_suspects(&self, worker: &WorkerState) -> Vec<CrashSuspect> {
         let began = worker.runs.iter().filter_map(|(key, record)| {
             let heard_ms = worker.heard_after(record)?;
@@ -68,27 +70,28 @@
         late.collect()
     }
 
-    /// Whether a run has not been proven: its worker may have gone down by its doing, or may yet.
+    /// Whether a run is not cleared: it may have brought its worker down, or may do so yet.
     pub(super) fn is_unproven(&self, suspect: &CrashSuspect) -> bool {
         suspect.heard_ms < self.proof_ms(&suspect.key.task)
     }
 
-    /// The runs on a worker that are not proven.
+    /// The runs on a worker that are not cleared.
     pub(crate) fn unproven_runs(&self, worker: &WorkerState) -> Vec<RunKey> {
         let suspects = self.crash_suspects(worker).into_iter();
         let unproven = suspects.filter(|suspect| self.is_unproven(suspect));
         unproven.map(|suspect| suspect.key).collect()
     }
 
-    /// Whether a task under which a worker crashed, and that is not proven since, is at work on a worker.
+    /// Whether a worker runs a task that has crash notes and is not cleared since.
     pub(crate) fn has_suspect(&self, worker: &WorkerState) -> bool {
         let unproven = self.unproven_runs(worker);
         let mut cautions = unproven.iter().map(|run| self.caution_of(&run.task));
         cautions.any(|caution| caution != StartCaution::Usual)
     }
 
-    /// A worker reports a run at work: it was not lost with a crash. Where it is proven, the crashes that were noted with its task were
-    /// others' doing.
+    /// Handles a run that its worker reports as running. It was not lost in a crash, so its crash
+    /// note is withdrawn. If the run is cleared, the task did not cause the other recorded crashes
+    /// either.
     pub(crate) fn clear_proven(&mut self, worker: &WorkerId, run: &RunKey) {
         if !self.crashes.noted.contains(&run.task) {
             return;
@@ -107,7 +110,8 @@
         self.mark_dirty(run.task.job);
     }
 
-    /// A task with notes is started: where is written down at once, so that a successor knows whether it has crashed one worker more.
+    /// Records where a task with crash notes is started. This is written at once, so that a
+    /// successor knows whether the task has crashed another worker.
     pub(crate) fn note_restart(&mut self, key: &RunKey, worker: &WorkerId) {
         if !self.crashes.noted.contains(&key.task) {
             return;
@@ -124,10 +128,10 @@
         }
     }
 
-    /// The notes of these tasks are durable: they may be started.
+    /// Releases tasks whose crash notes are durable: they may be started.
     pub(crate) fn release_noted(&mut self, now: Millis, tasks: Vec<TaskKey>) {
         for key in tasks {
-            // Another crash may have been noted since that write was asked for.
+            // Another crash may have been recorded after that write was requested.
             if self.crashes.unwritten.contains(&key) {
                 continue;
             }
@@ -146,21 +150,23 @@
         }
     }
 
-    /// Keeps a worker free of new starts for a task that is to be alone on it, from its choice until the task's run is proven.
+    /// Reserves a worker for a task that has to be alone on it: nothing else is started there until
+    /// the task's run is cleared.
     pub(crate) fn keep_worker(&mut self, now: Millis, worker: WorkerId, task: TaskKey) {
         self.crashes
             .kept
             .insert(worker, (task, now + CRASH_KEPT_MS));
     }
 
-    /// Whether one more worker may be kept for a task that waits to be alone.
+    /// Whether another worker may be reserved for a task that has to start alone.
     pub(crate) fn may_keep_for(&self, task: &TaskKey) -> bool {
         let kept = &self.crashes.kept;
         let most = FEWEST_KEPT_WORKERS.max(self.workers.len() / KEPT_OF_WORKERS);
         kept.len() < most && kept.values().all(|(kept_for, _)| kept_for != task)
     }
 
-    /// Frees workers that need not be kept any more: the task is at work elsewhere, or has not come to them in time.
+    /// Releases reserved workers whose task is running elsewhere or has not been started there in
+    /// time.
     pub(crate) fn free_kept(&mut self, now: Millis) {
         if self.crashes.kept.is_empty() {
             return;
--- a/crates/jobs/src/crash/mod.rs
+++ b/crates/jobs/src/crash/mod.rs
@@ -1,24 +1,32 @@
-//! Tasks that crash their workers: which they are, how they are told from what merely ran beside them, and when they are given up.
+//! Detects tasks that crash their workers, separates them from tasks that merely ran on the same
+//! worker, and decides when to give them up.
 //!
-//! A worker that crashes lists no end of the runs that it had, so that the task which brought it down is started again on the next one, and so
-//! on. What is known of a crash is how long after each run began the worker was last heard. A run whose worker was heard long enough after it
-//! is proven: it did not bring that worker down. All others are suspects, and a crash is noted with each of them.
+//! A worker that crashes lists no ends for its runs, so the task that brought it down would be
+//! started again on the next worker, and so on. What is known of a crash is how long after the
+//! start of each run the worker was last heard from. If the worker was heard from long enough after
+//! the start of a run, the run is cleared: it did not bring that worker down. All other runs are
+//! suspects, and the crash is recorded under each of them.
 //!
-//! | crashes noted | the next start |
+//! | crashes recorded | the next start |
 //! |---|---|
 //! | none | as usual |
-//! | one | apart from other suspects where that can be had, on a worker with few runs |
-//! | two or more | alone: nothing else there is unproven, and nothing else is started there until this run is proven |
+//! | one | on a worker without other suspects if there is one, and with few runs |
+//! | two or more | alone: nothing else on the worker is uncleared, and nothing else is started there until this run is cleared |
 //!
-//! A third crash convicts a task where two were certain, since it was the only suspect, and the workers went down with its start; else a
-//! fourth. Then its job is given up. In 90 days with dead racks, flapping workers and killed hosts, but without such tasks, 266 tasks had a first
-//! note and none a second. For a wrong verdict sound workers have to go down by themselves three times on end within a quarter of a
-//! second after the task began, the last time with nothing else new on it: 8 of 4,000 emulated fleets of 16 workers of which one crashes every
-//! two seconds.
+//! A third crash puts the blame on a task if two of the crashes were certain, since the task was
+//! the only suspect, and the workers went down right with its start; otherwise a fourth does. Then
+//! the job of the task is given up. In 90 test days with failed racks, flapping workers and
+//! killed hosts, but without tasks that crash workers, 266 tasks got a first crash note and none
+//! got a second. For a false verdict, healthy workers have to go down by themselves three times in
+//! a row within a quarter of a second after the start of the task, the last time with no other new
+//! run on the worker: this happened in 8 of 4,000 simulated fleets of 16 workers of which one
+//! crashes every two seconds.
 //!
-//! The platform allows five starts: two more after three workers have crashed. So one or two crashes may go unnoted, where owners die
-//! before they have written down what happened. Notes are in the job's progress; a task is not started again before its note is
-//! durable, its next start is written down as well, and the mark of a silent worker names what was unproven there.
+//! The platform allows five starts: two more after three workers have crashed. So one or two
+//! crashes may go unrecorded, where owners die before they have written down what happened. Crash
+//! notes are part of the job's progress. A task is not started again before its note is durable,
+//! its next start is written as well, and the silence record of a worker contains the runs that
+//! were uncleared there.
 
 mod book;
 mod caution;
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/noted.rs
@@ -1,4 +1,5 @@
-//! What becomes of a worker that is lost: crashes are noted with the runs that may have caused them, and a task that has is given up.
+//! Handles lost workers: records crashes under the runs that may have caused them, and gives up a
+//! task that is blamed.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -18,7 +19,8 @@
 use crate::worker::WorkerState;
 
 impl JobScheduler {
-    /// A worker is lost: notes the crash, gives up its runs, and gives up the task that has brought it down.
+    /// Handles the loss of a worker: records the crash, gives up the worker's runs, and gives up
+    /// the task that is blamed for the crash.
     pub(crate) fn lose_crashed(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
         let convicted = self.note_loss(now, worker, cause);
         self.lose_runs(now, worker, cause);
@@ -27,7 +29,8 @@
         }
     }
 
-    /// Notes the loss of a worker as a crash, where it may be one; returns the task that has brought it down.
+    /// Records the loss of a worker as a crash if it may be one. Returns the task that is blamed
+    /// for it.
     pub(crate) fn note_loss(
         &mut self,
         now: Millis,
@@ -43,7 +46,7 @@
                 self.note_crash(now, worker)
             }
             LossCause::LeaseOver => {
-                // It may be cut off and sound; then it answers some time.
+                // The worker may be healthy but cut off. Then it answers later.
                 self.blame(worker);
                 self.note_crash(now, worker)
             }
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Notes a crash with all that may have caused it; returns the task that did, where that is certain.
+    /// Records a crash under all runs that may have caused it. Returns the task that is blamed if
+    /// the cause is certain.
     pub(crate) fn note_crash(&mut self, now: Millis, worker: &WorkerId) -> Option<TaskKey> {
         let state = self.workers.get(worker)?;
         let address = state.entry.address;
@@ -86,8 +90,9 @@
         convicted
     }
 
-    /// Whether several other workers go down, or don't answer, since about the same time although no task on them explains it: what has
-    /// brought those down may have brought this one down as well, so that nothing can be said to be the only cause.
+    /// Whether several other workers have gone down or stopped answering at about the same time
+    /// without a task on them that explains it. This mass failure may have brought this worker down
+    /// as well, so no task can be called the only cause.
     fn goes_with_others(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
             let silent = other.failed_holds > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
@@ -97,7 +102,7 @@
         unexplained >= FEWEST_IN_HERD.max(self.workers.len() / HERD_OF_WORKERS)
     }
 
-    /// Notes a crash with a task; returns whether that convicts it.
+    /// Records a crash under a task. Returns whether the task is now blamed.
     fn note_crash_under(
         &mut self,
         now: Millis,
@@ -121,7 +126,8 @@
         let convicted = task.crashes.convicts();
         let crashes = task.crashes.count();
         if crashes > 0 {
-            // A first note is waited for a while only: while the store is out, sound tasks that were lost with their worker go on.
+            // The task waits for its first crash note to become durable for a limited time only:
+            // while the store is out, healthy tasks that were lost with their worker must continue.
             task.not_before = match crashes < ALONE_FROM_CRASHES {
                 true => now + CRASH_WAIT_MS,
                 false => Millis::MAX,
@@ -144,7 +150,7 @@
         convicted
     }
 
-    /// A job was read: notes the crashes under its tasks that became known before.
+    /// Records the crashes under the tasks of a job that were found before the job was read.
     pub(crate) fn note_awaited_crashes(&mut self, now: Millis, job: JobNumber) {
         let awaited = self.crashes.awaited.iter();
         let (of_job, others) = awaited.cloned().partition(|crash| crash.key.job == job);
@@ -157,7 +163,7 @@
         }
     }
 
-    /// Keeps in mind which notes say nothing should the worker answer again.
+    /// Remembers which crash notes to withdraw if the worker answers again.
     fn blame(&mut self, worker: &WorkerId) {
         let Some(state) = self.workers.get(worker) else {
             return;
@@ -171,8 +177,9 @@
         }
     }
 
-    /// A worker that was taken as crashed answers: where it is the same life it was cut off, and what was noted with its runs says
-    /// nothing. One that has started again has crashed.
+    /// Handles an answer of a worker that was presumed to have crashed. If it is the same
+    /// incarnation, it was only cut off, and the crash notes under its runs are withdrawn. A worker
+    /// that has restarted did crash.
     pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, life: Option<WorkerLife>) {
         let Some(blamed) = self.crashes.blamed.remove(worker) else {
             return;
@@ -185,7 +192,7 @@
         }
     }
 
-    /// Takes back what was noted with one run.
+    /// Withdraws the crash note under one run.
     pub(crate) fn withdraw_note(&mut self, key: &RunKey) {
         let job = self.jobs.get_mut(&key.task.job);
         let Some(task) = job.and_then(|job| job.task_mut(&key.task)) else {
@@ -200,7 +207,8 @@
         self.mark_dirty(key.task.job);
     }
 
-    /// Forgets a worker that is silent, not listed any more and without runs: it has crashed, as far as can be known.
+    /// Removes a worker that is silent, not listed any more and without runs. It is presumed to
+    /// have crashed.
     pub(crate) fn forget_silent(&mut self, now: Millis, id: &WorkerId) {
         self.blame(id);
         let convicted = self.note_crash(now, id);
@@ -214,10 +222,11 @@
         }
     }
 
-    /// A new owner finds tasks nowhere while workers are lost that an earlier owner gave orders to: what those workers had is noted by
-    /// nobody else. A task that was started again with a note has crashed one worker more where that worker is lost; any other
-    /// is watched, so that its next start is written down. Without this a task is started by owner after owner
-    /// where each dies before it has noted what happened.
+    /// Handles the tasks that a new owner finds nowhere, when workers were lost that an earlier
+    /// owner had sent orders to: nobody else records what those workers ran. If a task was started
+    /// again with crash notes and the worker of that start is lost, another crash is recorded. Any
+    /// other task is watched, so that its next start is written. Otherwise each owner in a row
+    /// would start such a task again if each dies before it has recorded the crash.
     pub(crate) fn note_unfound_suspects(&mut self, now: Millis, unfound: &[TaskKey]) {
         let few = unfound.len() <= UNFOUND_WATCHED_AT_MOST;
         for task in unfound {
@@ -241,7 +250,8 @@
         }
     }
 
-    /// An earlier owner started a task with a note on a worker: notes one crash more, unless that worker stands and is in the same life.
+    /// Records another crash under a task with crash notes that an earlier owner started, unless
+    /// the worker of that start exists in the same incarnation.
     fn note_lost_start(&mut self, now: Millis, place: &StartPlace, key: RunKey) {
         let state = self.workers.get(&place.worker);
         let stands = |state: &WorkerState| {
--- a/crates/jobs/src/crash/probes.rs
+++ b/crates/jobs/src/crash/probes.rs
@@ -1,7 +1,9 @@
-//! Probes of workers that have just begun a task under suspicion: whether one goes down with the task's start, or some time later.
+//! Probes workers that have just started a suspected task, to tell whether the worker goes down
+//! right with the start or some time later.
 //!
-//! A worker is looked at once or twice a second. One that crashes by itself in between can't be told from one that a task brought down with its
-//! start. So a few calls follow each start of such a task: where none of them is answered, the worker went down within that time.
+//! A worker is polled once or twice a second. A worker that crashes by itself between two polls
+//! can't be told from one that a task brought down with its start. So a few calls follow each start
+//! of such a task: if none of them is answered, the worker went down within that time.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -12,14 +14,15 @@
 use crate::scheduler::JobScheduler;
 
 impl RunRecord {
-    /// Whether the worker went down with the start of this run, which it was heard of last so long after it began.
+    /// Whether the worker went down right with the start of this run. `heard_ms` is how long after
+    /// the start it was last heard from.
     pub(crate) fn is_sudden(&self, heard_ms: Millis) -> bool {
         self.probes >= FEWEST_PROBES && heard_ms < FIRST_PROBE_MS
     }
 }
 
 impl JobScheduler {
-    /// A run of a task under suspicion began: has its worker probed.
+    /// Schedules the probes of a worker on which a run of a suspected task began.
     pub(crate) fn probe_begun(&mut self, now: Millis, worker: &WorkerId, key: RunKey) {
         if !self.crashes.noted.contains(&key.task) {
             return;
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Sends the probes that are due: calls that change nothing.
+    /// Sends the probes that are due. A probe is a call that changes nothing.
     pub(crate) fn send_probes(&mut self, now: Millis) {
         while let Some((at, ..)) = self.crashes.probes.first() {
             if *at > now {
@@ -49,5 +52,5 @@
     }
 }
 
-/// The whole pace, in percent.
+/// The full pace, in percent.
 const FULL_PACE: u32 = 100;
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -1,4 +1,4 @@
-//! The crashes that are noted with a task, and what they mean for its next start.
+//! The crashes recorded under a task, and their consequences for its next start.
 
 use sandshelf_model::{Millis, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -9,28 +9,30 @@
     PROVEN_AFTER_MS, UNHEARD_AT_MOST_MS,
 };
 
-/// A run that was lost with a worker, or may be.
+/// A run that was lost, or may have been lost, in a crash of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashSuspect {
     /// The run.
     pub key: RunKey,
-    /// How long after it began the worker was last heard, in milliseconds; 0 where nothing told that it began.
+    /// How long after the start of the run its worker was last heard from, in milliseconds; 0 if no
+    /// answer said that the run began.
     pub heard_ms: Millis,
     /// Whether the worker answered none of the probes that followed the start.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub sudden: bool,
 }
 
-/// A crash of a worker that a run was at work on.
+/// A crash of a worker during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNote {
     /// The run's number.
     #[serde(rename = "r")]
     pub run: u64,
-    /// How long after the run began the worker was last heard, in milliseconds; 0 where nothing told that it began.
+    /// How long after the start of the run its worker was last heard from, in milliseconds; 0 if no
+    /// answer said that the run began.
     #[serde(rename = "h")]
     pub heard_ms: Millis,
-    /// Whether nothing else may have caused it.
+    /// Whether the run was the only one that may have caused the crash.
     #[serde(rename = "a", default, skip_serializing_if = "std::ops::Not::not")]
     pub alone: bool,
     /// Whether the worker answered none of the probes that followed the start.
@@ -38,54 +40,59 @@
     pub sudden: bool,
 }
 
-/// The crashes that a task may have caused, in their order; empty again once a run of it is proven.
+/// The crashes that a task may have caused, in their order. Emptied once a run of the task is
+/// cleared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     notes: Vec<CrashNote>,
-    /// Whether a crash may have gone unnoted, so that the next start is written down as with a note.
+    /// Whether a crash may not have been recorded, so that the next start is written as for a task
+    /// with a crash note.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     watched: bool,
-    /// Where the task was started since, and the number of that run.
+    /// The worker on which the task was started after the newest crash, and the number of that run.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     started: Option<(WorkerId, u64)>,
-    /// In which of the worker's lives.
+    /// The incarnation of that worker.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     started_in: Option<WorkerLife>,
 }
 
-/// Where a task was started.
+/// The place at which a task was started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StartPlace {
     pub(super) worker: WorkerId,
-    /// In which of the worker's lives.
+    /// The worker's incarnation.
     pub(super) life: Option<WorkerLife>,
 }
 
-/// With how much caution a task is started.
+/// The caution with which a task is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartCaution {
-    /// Nothing speaks against it.
+    /// No crash is recorded.
     Usual,
-    /// A worker went down under it: apart from other suspects, where little is lost.
+    /// One worker crashed under the task: it is started on a worker without other suspects, where a
+    /// crash loses little.
     Apart,
-    /// Several did: with nothing else unproven on its worker, so that another crash tells.
+    /// Several workers crashed under the task: it is started where no other run is uncleared, so
+    /// that another crash identifies the cause.
     Alone,
 }
 
 impl CrashRecord {
-    /// Whether no crash is noted.
+    /// Whether there are no crash notes.
     pub fn is_empty(&self) -> bool {
         self.notes.is_empty() && !self.watched
     }
 
-    /// How long after the start of a run its worker has to be heard for the run to be proven. A worker may go down some time after it
-    /// was last heard, so that a task with a note is proven later.
+    /// How long after the start of a run its worker has to be heard from for the run to be cleared,
+    /// in milliseconds. A worker may go down some time after it was last heard from, so a run of a
+    /// task with crash notes is cleared later.
     pub(crate) fn proof_ms(&self) -> Millis {
         proof_after(&self.notes)
     }
 
-    /// How many of the crashes came before the run was proven.
+    /// How many of the crashes happened before the run was cleared.
     pub(crate) fn count(&self) -> usize {
         let counts = |(index, note): &(usize, &CrashNote)| {
             let before = &self.notes[..*index];
@@ -94,8 +101,10 @@
         self.notes.iter().enumerate().filter(counts).count()
     }
 
-    /// Whether the crashes suffice to give the task up. The last and another are certain, since nothing else on the worker was unproven.
-    /// Three in all suffice where workers went down with the start twice, which hardly happens to a sound task by chance; four otherwise.
+    /// Whether the crashes suffice to give the task up. The last one and one other must be certain:
+    /// no other run on the worker was uncleared. Three crashes suffice if workers went down right
+    /// with the start twice, which hardly happens to a healthy task by chance; otherwise four are
+    /// needed.
     pub(super) fn convicts(&self) -> bool {
         let alone = self.notes.iter().filter(|note| note.alone).count();
         let last = self.notes.last().is_some_and(|note| note.alone);
@@ -115,7 +124,8 @@
         }
     }
 
-    /// Notes a crash; one of a run that is noted already changes nothing.
+    /// Adds a crash. A second crash of the same run is ignored. Returns whether the crash was
+    /// added.
     pub(super) fn add(&mut self, note: CrashNote) -> bool {
         let known = self.notes.iter().any(|known| known.run == note.run);
         if !known {
@@ -126,25 +136,25 @@
         !known
     }
 
-    /// Where the task was started since the newest crash, and the number of that run.
+    /// Where the task was started after the newest crash, and the number of that run.
     pub(super) fn started(&self) -> Option<(StartPlace, u64)> {
         let (worker, run) = self.started.clone()?;
         let life = self.started_in;
         Some((StartPlace { worker, life }, run))
     }
 
-    /// The task is started again.
+    /// Records that the task is started again.
     pub(super) fn note_start(&mut self, place: StartPlace, run: u64) {
         self.started = Some((place.worker, run));
         self.started_in = place.life;
     }
 
-    /// A crash may have gone unnoted.
+    /// Records that a crash may have gone unrecorded.
     pub(super) fn watch(&mut self) {
         self.watched = true;
     }
 
-    /// Takes back what was noted with a run; returns whether anything was.
+    /// Withdraws the crash under a run. Returns whether there was one.
     pub(super) fn withdraw(&mut self, run: u64) -> bool {
         let before = self.notes.len();
         self.notes.retain(|note| note.run != run);
@@ -152,7 +162,7 @@
     }
 }
 
-/// How long after its start a run is proven of a task with these crashes.
+/// How long after its start a run of a task with these crashes is cleared, in milliseconds.
 fn proof_after(notes: &[CrashNote]) -> Millis {
     let longest = notes.iter().map(|note| note.heard_ms).max();
     longest.map_or(PROVEN_AFTER_MS, |longest| longest + UNHEARD_AT_MOST_MS)
--- a/crates/jobs/src/foreign.rs
+++ b/crates/jobs/src/foreign.rs
@@ -1,6 +1,7 @@
-//! Runs and ends that workers report of jobs whose rows have yet to be read.
+//! Runs and ends that workers report for jobs whose rows have not been read yet.
 //!
-//! Where the store is slow, an earlier owner may learn of a job, and start it, before its successor reads the job's row.
+//! When the store is slow, an earlier owner may learn of a job and start it before its successor
+//! has read the job's row.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +10,16 @@
 use crate::ids::{JobNumber, RunKey};
 use crate::reports::{EndReport, RunReport, WorkerClock};
 
-/// What was seen of one run.
+/// What a worker reported about one run.
 #[derive(Clone, Debug)]
 pub(crate) enum ForeignSight {
-    /// It is at work, by a report of this time of the worker's clock.
+    /// The run is running, by a report at this time of the worker's clock.
     AtWork(WorkerClock, RunReport),
-    /// It has ended.
+    /// The run has ended.
     Ended(EndReport),
 }
 
-/// Everything seen of unknown jobs, by run.
+/// Everything reported for unknown jobs, by run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForeignRuns {
     seen: BTreeMap<RunKey, (WorkerId, ForeignSight)>,
@@ -35,7 +36,8 @@
         self.seen.insert(end.key, (worker.clone(), sight));
     }
 
-    /// A worker, or its life, is no more: what was at work there is gone. Ends that it listed have come about.
+    /// Discards the running runs of a worker that is gone or has restarted. Ends that it listed
+    /// have happened and are kept.
     pub(crate) fn forget_work(&mut self, worker: &WorkerId) {
         let gone = |known: &WorkerId, sight: &ForeignSight| {
             known == worker && matches!(sight, ForeignSight::AtWork(..))
@@ -43,12 +45,12 @@
         self.seen.retain(|_, (known, sight)| !gone(known, sight));
     }
 
-    /// Whether anything was seen on a worker.
+    /// Whether anything was reported by a worker.
     pub(crate) fn names(&self, worker: &WorkerId) -> bool {
         self.seen.values().any(|(known, _)| known == worker)
     }
 
-    /// Takes out what was seen of a job that has become known.
+    /// Removes and returns the reports for a job that has become known.
     pub(crate) fn take(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignSight)> {
         let of_job = |key: &RunKey| key.task.job == job;
         let keys: Vec<RunKey> = self.seen.keys().copied().filter(of_job).collect();
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -1,4 +1,5 @@
-//! Holds: the calls that prolong a worker's lease, acknowledge ends and read what is at work.
+//! Lease renewals: the calls that extend a worker's lease, acknowledge ends and read which runs are
+//! running.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +23,7 @@
 use crate::worker::{LeaseMark, WorkerState};
 
 impl JobScheduler {
-    /// Sends the holds that are due.
+    /// Sends the renewals that are due.
     pub(crate) fn send_holds(&mut self, now: Millis) {
         let lease = (!self.may_be_followed(now)).then(|| self.granted_lease_ms());
         let mut due = Vec::new();
@@ -53,14 +54,14 @@
         }
     }
 
-    /// Has a worker's state read at the next chance.
+    /// Schedules a renewal of a worker for the next tick.
     pub(crate) fn hold_soon(&mut self, now: Millis, worker: &WorkerId) {
         if let Some(state) = self.workers.get(worker) {
             self.hold_at(worker, state.hold_due.min(now));
         }
     }
 
-    /// Has a worker's state read at a time.
+    /// Schedules the next renewal of a worker.
     pub(crate) fn hold_at(&mut self, worker: &WorkerId, at: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
             self.hold_queue.remove(&(state.hold_due, worker.clone()));
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes in the answer to a hold.
+    /// Handles the answer to a renewal.
     pub(crate) fn take_hold(&mut self, now: Millis, worker: &WorkerId, answer: HoldAnswer) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
@@ -77,10 +78,11 @@
         let sent = state.hold_sent.take();
         let waited = now.saturating_sub(sent.unwrap_or(now));
         match &answer {
-            // An end answers a look before its wait is over; such an answer doesn't tell how late it came.
+            // An end makes the worker answer before its wait is over. Such an answer doesn't show
+            // how late it came.
             HoldAnswer::Report(_) if waited < state.hold_wait => {}
             HoldAnswer::Report(report) => {
-                // What the call took elsewhere says nothing of this owner.
+                // The delay at the host that relayed the call is not caused by this owner.
                 let late = waited - state.hold_wait;
                 let own = late.saturating_sub(report.carrier_late_ms);
                 self.strain.note_answer(own);
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Takes in a report; the look that it answers went out at `asked`.
+    /// Handles a worker's report; the renewal that it answers was sent at `asked`.
     fn take_report(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: HoldReport) {
         self.take_life(now, worker, asked, &report);
         let Some(state) = self.workers.get_mut(worker) else {
@@ -127,7 +129,7 @@
         let first = !state.life.fenced;
         state.life.fenced = true;
         if first {
-            // Until it is prolonged, its lease is that of the earlier owner.
+            // Until this owner extends it, the lease is the one that the earlier owner granted.
             let inherited = report.clock + self.inherited_lease_ms;
             state.life.granted = state.life.granted.max(inherited);
         }
@@ -149,7 +151,8 @@
                 continue;
             }
             if self.is_foreign(now, &end.key) {
-                // Not acknowledged, nor any after it: the job's row has yet to be read.
+                // Neither this end nor any after it is acknowledged: the job's row has not been
+                // read yet.
                 held_back = true;
                 self.foreign.note_end(worker, end);
                 continue;
@@ -187,7 +190,7 @@
         self.plan_hold(now, worker);
     }
 
-    /// Tells of an end that is passed over although its run has no end yet.
+    /// Logs an end that is ignored for its number although its run has no end yet.
     fn note_passed_over(&mut self, worker: &WorkerId, end: &EndReport, noted: u64) {
         let state = self.workers.get(worker);
         if state.is_some_and(|state| state.runs.contains_key(&end.key)) {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Sets when the next hold is due: at once, unless listed ends can't be acknowledged yet.
+    /// Schedules the next renewal: at once, unless listed ends can't be acknowledged yet.
     fn plan_hold(&mut self, now: Millis, worker: &WorkerId) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
@@ -213,7 +216,7 @@
         let pause = if state.life.has_unwritten() {
             UNACKNOWLEDGED_HOLD_MS.max(gap)
         } else if state.withholds_ends(now) {
-            // A worker that lists ends answers at once, however long it may wait.
+            // A worker that lists ends answers at once, whatever wait it is allowed.
             HOLD_WAIT_MS.max(gap)
         } else {
             gap
@@ -261,21 +264,23 @@
         }
     }
 
-    /// Whether an end of this run, or of a later one, was taken in.
+    /// Whether an end of this run, or of a later run of its task, was processed.
     fn has_ended(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
         task.is_some_and(|task| key.run <= task.last_ended)
     }
 
-    /// Whether a run is of a job that is not known yet, but may be: one that an earlier owner began in its last moments.
+    /// Whether a run belongs to a job that is not known yet but may exist: an earlier owner may
+    /// have started it shortly before this one took over.
     fn is_foreign(&self, now: Millis, key: &RunKey) -> bool {
         let job = &key.task.job;
         let unknown = !self.jobs.contains_key(job) && !self.finished.contains(job);
         unknown && (self.state_pending || now < self.began_at + FOREIGN_MS)
     }
 
-    /// Takes over a run that an earlier owner started, or takes one back that was given up: started anew beside it the task would run twice.
+    /// Adopts a run that an earlier owner started, or takes back one that was given up. Starting
+    /// the task again would make it run twice.
     fn adopt(&mut self, worker: &WorkerId, key: &RunKey) {
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step(&key.task));
@@ -307,7 +312,8 @@
             checkpoint: run.checkpoint,
             percent: run.percent,
             gauge: run.gauge,
-            // It has outlived the change of owner, so that it counts as proven unless its task needs longer for that.
+            // The run has survived the change of owner, so it counts as cleared unless its task
+            // needs longer for that.
             began: Some(clock.saturating_sub(PROVEN_AFTER_MS)),
             ..RunRecord::new(
                 &step,
@@ -318,7 +324,7 @@
         }
     }
 
-    /// Gives up runs that the worker would have to list and does not.
+    /// Gives up runs that the worker would have listed if it had them.
     fn drop_missing(
         &mut self,
         now: Millis,
@@ -349,7 +355,8 @@
     }
 }
 
-/// Makes a worker's next hold, with the lease to grant, if any; it waits for an end unless some are waiting to be acknowledged.
+/// Builds a worker's next renewal with the lease to grant, if any. The call waits for an end unless
+/// there are ends to acknowledge.
 fn next_hold(
     worker: &WorkerState,
     now: Millis,
--- a/crates/jobs/src/life.rs
+++ b/crates/jobs/src/life.rs
@@ -1,7 +1,8 @@
-//! What is known of one life of a worker.
+//! The state of one incarnation of a worker.
 //!
-//! A worker that goes down may start again under the name that it had. Its clock and its counts start anew then, so that nothing
-//! that was read or sent in one life may be compared with another. All that holds for one life only stands here, and ends with it.
+//! A worker that restarts keeps its name, but its clock and its end numbers start anew. Values read
+//! from or sent to different incarnations must not be compared. Everything that is valid for a
+//! single incarnation is kept here and is dropped with it.
 
 use sandshelf_model::Millis;
 
@@ -9,50 +10,52 @@
 use crate::limits::SLOWEST_CLOCK_PERCENT;
 use crate::reports::WorkerClock;
 
-/// How far clocks may be off each other within the time of one order, and how late a host may read its own, in milliseconds.
+/// The largest difference that clocks may build up while one order is under way, plus the longest
+/// delay with which a host reads its own clock, in milliseconds.
 const CLOCK_SLACK_MS: Millis = 50;
 
-/// A reading of a worker's clock and when it reached us.
+/// A reading of a worker's clock, with the times between which it was taken.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock: WorkerClock,
-    /// When the call went out that it answers: it was read after that.
+    /// When the call was sent that this reading answers. The clock was read after that.
     asked: Millis,
     at: Millis,
 }
 
-/// What a worker answered an order with: its clock, and when the order went out.
+/// The clock in a worker's answer to an order, and when the order was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockSight {
     pub(crate) clock: WorkerClock,
     pub(crate) asked: Millis,
 }
 
-/// Whether two lives of one worker are certainly not the same; where it doesn't name them they may be.
+/// Whether two incarnations of one worker certainly differ. Returns false where either is unknown.
 pub(crate) fn are_others(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
-/// One life of a worker, as far as this owner has heard of it.
+/// What this owner knows of one incarnation of a worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LifeState {
-    /// Which one; none where the worker doesn't say it or has not answered.
+    /// The incarnation's identifier; `None` if the worker doesn't report it or has not answered
+    /// yet.
     pub(crate) name: Option<WorkerLife>,
     /// Whether it has answered under this owner's epoch.
     pub(crate) fenced: bool,
     reading: Option<ClockReading>,
-    /// The latest end of a lease that was sent to it, on its clock.
+    /// The latest lease deadline that was sent to it, on its clock.
     pub(crate) granted: WorkerClock,
-    /// Ends up to this number were taken in.
+    /// The number of the newest end that was processed; end numbers increase.
     pub(crate) noted: u64,
     /// Ends up to this number are durable and may be acknowledged.
     pub(crate) durable: u64,
-    /// Ends up to this number were acknowledged by a hold that it answered.
+    /// Ends up to this number were acknowledged by a renewal that the worker answered.
     pub(crate) acknowledged: u64,
 }
 
 impl LifeState {
-    /// A life that has answered nothing yet.
+    /// An incarnation that has not answered yet.
     pub(crate) fn new(name: Option<WorkerLife>) -> Self {
         Self {
             name,
@@ -60,12 +63,12 @@
         }
     }
 
-    /// Whether a worker that names its life so is in another one.
+    /// Whether an incarnation with this identifier certainly differs from this one.
     pub(crate) fn is_other(&self, name: Option<WorkerLife>) -> bool {
         are_others(self.name, name)
     }
 
-    /// Notes a reading of its clock; an older one than is known changes nothing.
+    /// Records a reading of the worker's clock. A reading older than the newest one is ignored.
     pub(crate) fn note_clock(&mut self, now: Millis, sight: ClockSight) {
         let ClockSight { clock, asked } = sight;
         if self.reading.is_none_or(|known| clock >= known.clock) {
@@ -77,10 +80,13 @@
         }
     }
 
-    /// Whether an order was answered by this life, by the clock that the answer shows: answers to orders don't name the life.
+    /// Whether this incarnation answered an order, judged by the clock in the answer: answers to
+    /// orders don't carry the incarnation.
     ///
-    /// A life's clock goes on from the newest reading at its own pace, and that of a later life began after the reading, from nothing or
-    /// from anywhere. So one that fits is of this life, but for a life that was not older than the order and its answer took.
+    /// The clock of one incarnation advances from its newest reading at its own rate. The clock of
+    /// a later incarnation began after that reading, at zero or at an arbitrary value. So a clock
+    /// within the expected range belongs to this incarnation, unless this incarnation was younger
+    /// than the time that the order and its answer took.
     pub(crate) fn answered(&self, now: Millis, sight: ClockSight) -> bool {
         let Some(reading) = self.reading else {
             return true;
@@ -91,38 +97,40 @@
         (least..=most).contains(&sight.clock)
     }
 
-    /// The newest reading of its clock.
+    /// The newest reading of the worker's clock.
     pub(crate) fn read_clock(&self) -> Option<WorkerClock> {
         Some(self.reading?.clock)
     }
 
-    /// Its clock by now, as far as it is known.
+    /// The estimated clock of the worker at `now`; `None` before the first reading.
     pub(crate) fn clock(&self, now: Millis) -> Option<WorkerClock> {
         let reading = self.reading?;
         Some(reading.clock + now.saturating_sub(reading.at))
     }
 
-    /// What its clock shows at least by now, however slow it runs.
+    /// The lowest value that the worker's clock can show at `now`, at the slowest rate that is
+    /// allowed.
     fn least_clock(&self, now: Millis) -> Option<WorkerClock> {
         let reading = self.reading?;
         let passed = now.saturating_sub(reading.at) * SLOWEST_CLOCK_PERCENT / 100;
         Some(reading.clock + passed)
     }
 
-    /// From when on all that was leased to it has certainly run out, unless that is prolonged; none before it has answered.
+    /// The time from which every lease granted to this incarnation has certainly expired, unless it
+    /// is renewed; `None` before it has answered.
     pub(crate) fn lease_over_at(&self) -> Option<Millis> {
         let reading = self.reading?;
         let left = (self.granted + 1).saturating_sub(reading.clock);
         Some(reading.at + (left * 100).div_ceil(SLOWEST_CLOCK_PERCENT))
     }
 
-    /// Whether all that was leased to it has certainly run out.
+    /// Whether every lease granted to this incarnation has certainly expired.
     pub(crate) fn lease_is_over(&self, now: Millis) -> bool {
         self.least_clock(now)
             .is_some_and(|clock| clock > self.granted)
     }
 
-    /// Whether ends were taken in that are not durable yet.
+    /// Whether ends were processed that are not durable yet.
     pub(crate) fn has_unwritten(&self) -> bool {
         self.noted > self.durable
     }
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The end of a takeover, and workers that fall silent.
+//! The end of a takeover, and the detection of silent workers.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -9,7 +9,8 @@
 use crate::scheduler::JobScheduler;
 
 impl JobScheduler {
-    /// Ends the takeover once every worker has answered, or none can hold an earlier owner's lease any more.
+    /// Ends the takeover once every worker has answered, or none can hold a lease of an earlier
+    /// owner any more.
     pub(crate) fn check_recovery(&mut self, now: Millis) {
         let Some(recovery) = &self.recovery else {
             return;
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Once no lease of an earlier owner can last, a successor is told how long this owner's are.
+    /// Publishes the length of this owner's leases to its successors once every lease of an earlier
+    /// owner has expired.
     pub(crate) fn note_own_leases(&mut self, now: Millis) {
         let lease_ms = self.limits.lease_ms();
         if now >= self.inherited_until && self.roster_lease_ms != lease_ms {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// How long the leases are that this owner grants for now.
+    /// The length of the leases that this owner grants at present, in milliseconds. Until its
+    /// roster is durable it grants no longer leases than the ones it inherited.
     pub(crate) fn granted_lease_ms(&self) -> Millis {
         let own = self.limits.lease_ms();
         match self.lease_published {
@@ -69,7 +72,8 @@
         }
     }
 
-    /// An earlier owner may have ended between the removal of a job and that of its progress: what is left is removed in time.
+    /// Schedules the removal of progress rows without a job. An earlier owner may have ended after
+    /// it removed a job and before it removed the job's progress.
     fn forget_leftovers(&mut self, now: Millis) {
         let inherited = self.inherited.iter();
         let over = inherited.filter(|(_, row)| row.stage.is_final());
@@ -87,8 +91,9 @@
         }
     }
 
-    /// Keeps the roster to the workers that may hold tasks: a successor waits for the answer of each of them. With leaving
-    /// workers left in it until they were gone, three that had ended all their work held up every unfound task for 11 s.
+    /// Updates the roster to the workers that may hold tasks: a successor waits for an answer of
+    /// each of them. When draining workers stayed in it until they were gone, three that had ended
+    /// all their runs delayed every unfound task by 11 s.
     pub(crate) fn refresh_roster(&mut self, now: Millis) {
         if now < self.roster_looked + ROSTER_LOOK_MS {
             return;
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Looks for workers that fell silent or whose leases have run out.
+    /// Checks for workers that have become silent and for leases that have expired.
     pub(crate) fn check_workers(&mut self, now: Millis) {
         let mut over = Vec::new();
         let mut silent = Vec::new();
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -1,8 +1,9 @@
-//! Workers that start again under the name that they had.
+//! Handles workers that restart under the same name.
 //!
-//! A worker in a new life holds and knows nothing of before. What it reported in the life before is over, as with a worker whose place another
-//! has taken. Only an order whose answer never came may yet be carried out by the new life, since orders name the worker and not its life: such
-//! a run is settled anew there.
+//! A new incarnation of a worker holds nothing of the previous one and knows nothing about it.
+//! Every run that the previous incarnation reported is over, as when a worker is replaced by
+//! another one. An order that was never answered may still be carried out by the new incarnation,
+//! since orders name the worker but not its incarnation: such a run is settled there anew.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +16,13 @@
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 
-/// A start that no life of its worker has answered may be carried out as long as the present one lives: its deadline counts on the clock of
-/// the life that it was meant for.
+/// The deadline of a start that no incarnation of its worker has answered. The order's own deadline
+/// is on the clock of the previous incarnation, so the new one may carry the order out at any time.
 const NO_DEADLINE: u64 = u64::MAX;
 
 impl JobScheduler {
-    /// Takes in which life of a worker a report is of. The first one that says so gives the life its name; a report of another life
-    /// begins that.
+    /// Checks which incarnation of a worker sent a report. The first report that contains an
+    /// incarnation sets it; a report of another one begins a new incarnation.
     pub(crate) fn take_life(
         &mut self,
         now: Millis,
@@ -40,10 +41,12 @@
         }
     }
 
-    /// A worker has started again: gives up what ended with the life before, and goes on with what the new one may hold.
+    /// Handles a restart of a worker: gives up the runs of the previous incarnation, and keeps
+    /// those that the new one may hold.
     ///
-    /// What the report lists is at work there. What the life before had answered for, by a look or before the look went out that this report
-    /// answers, has ended with it; anything else may be at work in the new life, or be begun there.
+    /// Runs that the report lists are running there. Runs that the previous incarnation confirmed,
+    /// in a report or in an answer that came before the renewal of this report was sent, have ended
+    /// with it. Any other run may be running in the new incarnation, or may yet be started there.
     fn begin_life(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: &HoldReport) {
         let Some(state) = self.workers.get(worker) else {
             return;
@@ -70,7 +73,8 @@
         }
         if let Some(state) = self.workers.get_mut(worker) {
             let reached = state.hold_prolongs || !listed.is_empty() || !doubtful.is_empty();
-            // An order that was meant for the life before leases by that one's clock, at most for as long as the worker allows.
+            // The deadline in an order that was meant for the previous incarnation is on the clock
+            // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
             let granted = longest.min(state.life.granted);
             state.life = LifeState::new(report.life);
@@ -97,7 +101,7 @@
         self.room_changed = true;
     }
 
-    /// Takes out the runs of a worker of which something holds.
+    /// Removes and returns the runs of a worker for which a condition holds.
     fn take_runs(
         &mut self,
         worker: &WorkerId,
@@ -115,7 +119,8 @@
             .collect()
     }
 
-    /// Goes on with a run in the new life; one that was to stop is told so anew.
+    /// Keeps a run for the new incarnation. If the run was being stopped, the stop order is sent
+    /// again.
     fn keep_run(
         &mut self,
         now: Millis,
@@ -142,7 +147,7 @@
     }
 }
 
-/// The runs that a report lists, at work or ended.
+/// The runs that a report lists as running or ended.
 fn listed_runs(report: &HoldReport) -> BTreeSet<RunKey> {
     let running = report.running.iter().map(|run| run.key);
     let ended = report.ended.iter().map(|end| end.key);
--- a/crates/jobs/src/roster.rs
+++ b/crates/jobs/src/roster.rs
@@ -1,4 +1,4 @@
-//! The durable form of the workers that may hold tasks.
+//! The durable list of the workers that may hold tasks.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 
 use crate::ids::WorkerLife;
 
-/// The workers that may hold tasks, and how long what they hold is leased.
+/// The workers that may hold tasks, and the longest lease that they hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRoster {
-    /// The owner that wrote it.
+    /// The epoch of the owner that wrote it.
     #[serde(default)]
     pub epoch: Epoch,
-    /// Each worker's incarnation and address.
+    /// The name and address of each worker.
     pub workers: Vec<(WorkerId, SocketAddr)>,
-    /// Which life of each of them, in their order, the owner has heard.
+    /// The incarnation of each worker that the owner has heard from, in the order of `workers`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lives: Vec<Option<WorkerLife>>,
-    /// How long the leases are at most; where it is not said, as long as the platform allows.
+    /// The longest lease in milliseconds; `None` means the longest that the platform allows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<Millis>,
 }
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -1,4 +1,4 @@
-//! What is known of one run that may be at work on a worker.
+//! The state of one run that may be running on a worker.
 
 use sandshelf_model::{Millis, ResourceSize};
 
@@ -7,22 +7,23 @@
 use crate::reports::WorkerClock;
 use crate::spec::StepSpec;
 
-/// What part of its declared processors a filling task uses that was not read yet.
+/// The part of its declared processors that a filling task is assumed to use before its first
+/// reading.
 const USUAL_USE: f64 = 0.87;
 
-/// How far an order to start has come.
+/// How far the order to start a run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// It was sent and its answer is awaited.
+    /// The start order was sent and its answer is awaited.
     Ordered,
-    /// It got no answer: it may have been done, or may be done later.
+    /// The start order got no answer: it may have been carried out, or may yet be.
     Unsettled,
-    /// A life of the worker that is not known has carried it out: its answer came at this time. A look that goes out later tells
-    /// whether it is at work.
+    /// An unknown incarnation of the worker has carried out the order; its answer arrived at this
+    /// time. A renewal that is sent later tells whether the run is running.
     Elsewhere(Millis),
-    /// The worker said that it runs, at this time of its clock.
+    /// The worker reported the run as running at this time of its clock.
     Running(WorkerClock),
-    /// A stop was sent, first at this time; answered at that time of the worker's clock, if it was.
+    /// A stop order was first sent at `sent`; `answered` is the worker's clock in its answer.
     Stopping {
         sent: Millis,
         answered: Option<WorkerClock>,
@@ -30,33 +31,35 @@
 }
 
 impl RunPhase {
-    /// Whether a stop was sent.
+    /// Whether a stop order was sent.
     pub(crate) fn is_stopping(&self) -> bool {
         matches!(self, RunPhase::Stopping { .. })
     }
 }
 
-/// A run that may be at work on a worker.
+/// A run that may be running on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct RunRecord {
     pub(crate) phase: RunPhase,
-    /// What it takes of the worker's room.
+    /// The part of the worker's capacity that it takes.
     pub(crate) room: ResourceSize,
-    /// Whether that is known.
+    /// Whether `room` is known.
     pub(crate) sized: bool,
-    /// What it would use of the processors, in thousandths of a core.
+    /// The processors that it would use, in thousandths of a core.
     pub(crate) cpu_millis: u64,
-    /// How many probes have followed its start.
+    /// How many probes were sent after its start.
     pub(crate) probes: u32,
-    /// Whether the worker's present life has listed it.
+    /// Whether the worker's current incarnation has listed it.
     pub(crate) listed: bool,
-    /// When the order to start it was answered, by the present life as far as the answer's clock tells.
+    /// When the order to start it was answered by the current incarnation, as far as the clock in
+    /// the answer tells.
     pub(crate) answered_at: Option<Millis>,
-    /// When it was ordered to start; 0 for one that an earlier owner ordered.
+    /// When it was ordered to start; 0 if an earlier owner ordered it.
     pub(crate) ordered_at: Millis,
-    /// When the worker said that it runs, by its own clock; kept also once it is to stop.
+    /// The worker's clock when it first reported the run as running. Kept while the run is being
+    /// stopped.
     pub(crate) began: Option<WorkerClock>,
-    /// Until when on the worker's clock the order to start it may be carried out.
+    /// The worker may carry out the start order until this time of its clock.
     pub(crate) start_deadline: WorkerClock,
     pub(crate) fills: bool,
     pub(crate) standing: bool,
@@ -65,40 +68,43 @@
     pub(crate) checkpoint: Option<String>,
     pub(crate) percent: u32,
     pub(crate) gauge: Option<u64>,
-    /// The share at which it was told to work, in percent.
+    /// The pace at which it was ordered to work, in percent.
     pub(crate) pace: u32,
-    /// What part of its declared processors it was seen to use at full pace.
+    /// The part of its declared processors that it was observed to use at full pace.
     pub(crate) use_ratio: Option<f64>,
-    /// When its job should be done.
+    /// When its job is due.
     pub(crate) due: DueTimes,
-    /// What its job needs from this task on.
+    /// The time that its job needs from this task on.
     pub(crate) chain: TaskChain,
-    /// In how many readings on end it used much more or less than its pace says.
+    /// In how many consecutive readings it used much more or much less than its pace allows for.
     pub(crate) off_pace: u32,
     /// Since when it has been slowed down.
     pub(crate) slowed_since: Option<Millis>,
-    /// Since when every reading has been over its target.
+    /// Since when every reading has been over its latency target.
     pub(crate) over_since: Option<Millis>,
 }
 
 impl RunRecord {
-    /// Whether a report of the present life, to a look that went out at `asked`, would list it were it at work there.
+    /// Whether a report of the current incarnation to a renewal sent at `asked` would list the run
+    /// if it were running there.
     pub(crate) fn would_be_listed(&self, asked: Millis) -> bool {
         self.listed || self.answered_at.is_some_and(|answered| asked >= answered)
     }
 
-    /// How much longer its job needs from here on, were it slowed down no more.
+    /// How long its job still needs from here on if the run is not slowed down any more, in
+    /// milliseconds.
     pub(crate) fn needs_ms(&self) -> Millis {
         let left = u64::from(100 - self.percent.min(100));
         self.chain.own_ms * left / 100 + self.chain.after_ms
     }
 
-    /// What it uses of the processors at full pace, in thousandths of a core, as far as it was seen.
+    /// The processors that it uses at full pace, in thousandths of a core: observed where possible,
+    /// else assumed.
     pub(crate) fn full_use(&self) -> f64 {
         self.cpu_millis as f64 * self.use_ratio.unwrap_or(USUAL_USE)
     }
 
-    /// Makes the record of a run of a step's task.
+    /// Creates the record of a run of one of the step's tasks.
     pub(crate) fn new(
         step: &StepSpec,
         image: ImageId,
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs: answers to orders, ends, and runs that can't be at work any more.
+//! Run outcomes: stop orders, reported ends, and runs that can't be running any more.
 
 use sandshelf_model::{JobId, Millis, WorkerId};
 
@@ -14,7 +14,7 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Orders a run to stop, once.
+    /// Orders a run to stop, unless it was ordered already.
     pub(crate) fn stop_run(
         &mut self,
         now: Millis,
@@ -40,7 +40,7 @@
         });
     }
 
-    /// Sends stops anew that got no answer.
+    /// Sends stop orders again that got no answer.
     pub(crate) fn resend_stops(&mut self, now: Millis) {
         while self.stop_queue.front().is_some_and(|(at, ..)| *at <= now) {
             let Some((_, worker, key)) = self.stop_queue.pop_front() else {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Orders a run to stop once more that a worker lists although it had answered a stop long enough before, by its clock.
+    /// Orders a run to stop again if the worker still lists it long enough after it answered a stop
+    /// order, by the worker's clock.
     pub(crate) fn stop_again(
         &mut self,
         now: Millis,
@@ -79,7 +80,7 @@
         self.call(worker, WorkerCall::Stop(key));
     }
 
-    /// Takes in an end that a worker lists.
+    /// Handles an end that a worker lists.
     pub(crate) fn take_end(&mut self, now: Millis, worker: &WorkerId, end: EndReport) {
         let record = self.remove_record(now, worker, &end.key);
         let earlier = self.is_of_earlier_owner(&end.key);
@@ -124,7 +125,8 @@
             _ => None,
         };
         let spent = failed && self.count_failure(now, end.key);
-        // The end of a run beside the one that counts says nothing of that one, unless the task is done.
+        // The end of another run than the current one doesn't affect the current one, unless the
+        // task is done.
         if let Some((worker, run)) = other {
             if end.outcome == RunOutcome::Done && !standing {
                 self.task_done(now, key);
@@ -139,7 +141,7 @@
         }
         match end.outcome {
             RunOutcome::Done if !standing => self.task_done(now, key),
-            // A standing task may fail as often as it likes.
+            // The failures of a standing task are not limited.
             RunOutcome::Failed
                 if newest && !spent && !standing && self.may_have_failed_more(&key) =>
             {
@@ -150,13 +152,15 @@
         }
     }
 
-    /// Whether workers that have yet to answer this owner may tell of failed runs of a task that nobody wrote down.
+    /// Whether workers that have not answered this owner yet may report failed runs of a task that
+    /// were never recorded.
     fn may_have_failed_more(&self, key: &TaskKey) -> bool {
         let inherited = self.jobs.get(&key.job).is_some_and(|job| job.inherited);
         self.recovery.is_some() && inherited
     }
 
-    /// Keeps a task back until all workers have answered, or can hold nothing of an earlier owner's any more.
+    /// Defers a task until all workers have answered, or can't hold anything of an earlier owner
+    /// any more.
     fn hold_back(&mut self, key: &TaskKey) {
         self.mark_dirty(key.job);
         let job = self.jobs.get_mut(&key.job);
@@ -168,14 +172,15 @@
         self.forget_waiting(|wait| wait.task == *key);
     }
 
-    /// Whether a run was ordered by an earlier owner, and this one has not given it up.
+    /// Whether a run was ordered by an earlier owner and was not given up by this one.
     fn is_of_earlier_owner(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
         key.run < self.run_number(0) && task.is_some_and(|task| !task.given_up.contains(&key.run))
     }
 
-    /// Whether a run that this owner did not order may be taken over: nothing else of the task is at work.
+    /// Whether a run that this owner did not order may be adopted: no other run of the task is
+    /// running.
     pub(crate) fn may_adopt(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
@@ -197,7 +202,7 @@
         };
         let waited = step.waits(key.index, gang);
         if gang {
-            // The members of a gang end together: one such end stands for all.
+            // The members of a gang end together: the end of one counts for all.
             for task in &mut step.tasks {
                 task.stage = TaskStage::Done;
             }
@@ -214,7 +219,8 @@
         self.open_job_steps(now, key.job);
     }
 
-    /// Counts a failed run, once; returns true where that was one too many and the job has ended.
+    /// Counts a failed run, once. Returns true if the task has now failed too often, so that its
+    /// job has ended.
     fn count_failure(&mut self, now: Millis, run: RunKey) -> bool {
         let key = run.task;
         let Some(job) = self.jobs.get(&key.job) else {
@@ -241,7 +247,7 @@
         spent
     }
 
-    /// A run of the task is over and the task is not done: it goes back into the queue.
+    /// Handles the end of a run whose task is not done: the task goes back into the queue.
     fn task_freed(&mut self, now: Millis, key: TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
@@ -254,7 +260,7 @@
         if !standing || remembered {
             self.mark_dirty(key.job);
         }
-        // Another worker may hold a later run of it, or its step's turn has not come: it is freed in its time.
+        // A worker may hold a later run of it, or its step may not be open yet: it is queued later.
         let stage = self.jobs.get(&key.job).and_then(|job| job.task(&key));
         let stage = stage.map(|task| &task.stage);
         if matches!(stage, Some(TaskStage::Unfound | TaskStage::Blocked)) {
@@ -266,7 +272,8 @@
         }
     }
 
-    /// Gives up a run that is certainly not at work and has no end; its task goes back into the queue.
+    /// Gives up a run that is certainly not running and has no end. Its task goes back into the
+    /// queue.
     pub(crate) fn drop_run(&mut self, now: Millis, worker: &WorkerId, key: &RunKey) {
         let Some(record) = self.remove_record(now, worker, key) else {
             return;
@@ -286,7 +293,7 @@
         }
     }
 
-    /// Gives up one run and tells so.
+    /// Gives up one run and logs it.
     pub(crate) fn lose_run(
         &mut self,
         now: Millis,
@@ -316,7 +323,7 @@
         }
     }
 
-    /// Notes that a worker is no more.
+    /// Removes a worker that no longer exists.
     pub(crate) fn lose_worker(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
         let Some(state) = self.workers.get(worker) else {
             return;
@@ -339,7 +346,8 @@
         }
     }
 
-    /// A worker that said that it leaves, is not listed and takes no connection has left.
+    /// Removes a draining worker that is not listed any more. It has left, since it takes no
+    /// connection.
     pub(crate) fn check_left(&mut self, now: Millis, worker: &WorkerId) {
         let left = |state: &crate::worker::WorkerState| state.entry.draining && !state.listed;
         if self.workers.get(worker).is_some_and(left) {
@@ -347,7 +355,8 @@
         }
     }
 
-    /// Counts failures and successes of a worker, to keep tasks away from one that fails all.
+    /// Counts failures and successes of a worker for its quarantine: a worker on which everything
+    /// fails gets no new tasks.
     fn judge_worker(&mut self, now: Millis, worker: &WorkerId, end: &EndReport) {
         match end.outcome {
             RunOutcome::Failed => {
@@ -377,7 +386,8 @@
         record
     }
 
-    /// Takes in the clock that an order was answered with; returns whether the life that is known has answered it.
+    /// Records the clock in an answer to an order. Returns whether the current incarnation has
+    /// answered.
     pub(crate) fn take_sight(&mut self, now: Millis, worker: &WorkerId, sight: ClockSight) -> bool {
         let Some(state) = self.workers.get_mut(worker) else {
             return false;
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -1,9 +1,11 @@
-//! Workers that fell silent: when what they hold is over is written down, so that a successor doesn't wait anew.
+//! Silence records: the end of a silent worker's lease is written durably, so that a successor
+//! doesn't wait for it anew.
 //!
-//! An owner that notes a worker's silence knows when the lease there ends. A successor that only knows that the worker doesn't
-//! answer has to wait a whole lease from its own claim, and one that follows it soon begins again. So the end is made
-//! durable, in the store's time; from then on nothing prolongs the lease until the worker has answered and the mark is gone
-//! for certain.
+//! An owner that notices a worker's silence knows when the worker's lease ends. A successor that
+//! only knows that the worker doesn't answer has to wait for a full lease from its own claim, and
+//! the next owner has to wait anew. So the end of the lease is made durable, on the store's clock.
+//! From then on nothing extends the lease until the worker has answered and the record is certainly
+//! removed.
 
 use std::collections::BTreeMap;
 
@@ -15,64 +17,68 @@
 use crate::scheduler::JobScheduler;
 use crate::worker::{LeaseMark, WorkerState};
 
-/// At most one worker of so many may be suspect for those to be marked before they count as silent: where many answer late,
-/// it is the way to them that suffers, and the marks would grow large.
+/// Unresponsive workers get a silence record before they count as silent if at most one worker in
+/// this many is unresponsive. Where many answer late, the network to them is at fault, and the
+/// records would grow large.
 const FEW_OF: usize = 10;
-/// So many suspects are always few.
+/// Up to this number of unresponsive workers get a silence record early in a fleet of any size.
 const FEW_SUSPECTS: usize = 3;
 
-/// From when on nothing that was leased to a silent worker is at work there, by the store's clock in milliseconds.
+/// The times from which nothing that was leased to a silent worker is running there, on the store's
+/// clock in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilentWorkers {
-    /// The owner that wrote it.
+    /// The epoch of the owner that wrote it.
     #[serde(default)]
     pub epoch: Epoch,
-    /// By worker.
+    /// The end of the lease, by worker.
     pub over_at: BTreeMap<WorkerId, u64>,
-    /// The runs on each that may have brought it down: those that had begun shortly before it fell silent.
+    /// The runs on each worker that may have caused a crash of it: those that had begun shortly
+    /// before it became silent.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub suspects: BTreeMap<WorkerId, Vec<CrashSuspect>>,
-    /// In which life each of those workers had them.
+    /// The incarnation in which each of these workers had its suspects.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub lives: BTreeMap<WorkerId, WorkerLife>,
 }
 
-/// What is known of the store's clock, from its answers.
+/// An estimate of the store's clock from its answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StoreClock {
-    /// By how much it is ahead of the scheduler's clock at most.
+    /// An upper bound of its lead over the scheduler's clock, in milliseconds; `None` before the
+    /// first answer.
     ahead: Option<i64>,
 }
 
 impl StoreClock {
-    /// Takes in that it showed `at_most_ms` at most at a time of the scheduler's clock; both clocks are steady, so that the
-    /// least such bound holds on.
+    /// Records that the store's clock showed `at_most_ms` at most at the scheduler's time `at`.
+    /// Both clocks run at the same rate, so the lowest bound stays valid.
     pub(crate) fn note(&mut self, at: Millis, at_most_ms: u64) {
         let ahead = at_most_ms as i64 - at as i64;
         self.ahead = Some(self.ahead.map_or(ahead, |known| known.min(ahead)));
     }
 
-    /// What it shows at most at a time of the scheduler's clock.
+    /// The highest value that the store's clock can show at a time of the scheduler's clock.
     fn at_most(&self, at: Millis) -> Option<u64> {
         let shown = at as i64 + self.ahead?;
         u64::try_from(shown).ok()
     }
 }
 
-/// The marks of silent workers.
+/// The silence records of all workers.
 ///
-/// They are kept apart from what is known of each worker: one that lists omit for a while is forgotten and may come back
-/// while its mark can still be read.
+/// They are kept apart from the state of the workers: a worker that lists omit for a while is
+/// forgotten, and may come back while its record can still be read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MarkBook {
-    /// As they were last asked to be written.
+    /// The records as the last commit request contained them.
     asked: SilentWorkers,
-    /// Marks that a commit of this number takes away.
+    /// Records that the commit with this number removes.
     fading: BTreeMap<WorkerId, u64>,
 }
 
 impl MarkBook {
-    /// Whether a successor would read that a worker's lease ends.
+    /// Whether a successor could read a silence record of a worker.
     pub(crate) fn of(&self, worker: &WorkerId) -> LeaseMark {
         match self.fading.get(worker) {
             _ if self.asked.over_at.contains_key(worker) => LeaseMark::Marked,
@@ -106,7 +112,7 @@
         self.fading.insert(worker.clone(), commit);
     }
 
-    /// Takes away the marks of workers that are not known any more; returns whether there were any.
+    /// Removes the records of workers that are not known any more. Returns whether there were any.
     fn take_away_unknown(&mut self, known: &BTreeMap<WorkerId, WorkerState>, commit: u64) -> bool {
         let marked = self.asked.over_at.keys();
         let unknown: Vec<WorkerId> = marked
@@ -119,7 +125,7 @@
         !unknown.is_empty()
     }
 
-    /// A commit took effect; returns the workers whose marks are gone for certain.
+    /// Handles a commit that took effect. Returns the workers whose records are certainly removed.
     fn note_committed(&mut self, commit: u64) -> Vec<WorkerId> {
         let gone = self.fading.iter().filter(|(_, with)| **with == commit);
         let gone: Vec<WorkerId> = gone.map(|(worker, _)| worker.clone()).collect();
@@ -131,8 +137,8 @@
 }
 
 impl JobScheduler {
-    /// Marks workers that fell silent and takes away the marks of those that answer again, in the commit that has this number;
-    /// returns the marks where they changed.
+    /// Adds records of workers that have become silent and removes those of workers that answer
+    /// again, with the commit of this number. Returns all records if any changed.
     pub(crate) fn changed_marks(&mut self, now: Millis, commit: u64) -> Option<SilentWorkers> {
         let mut changed = self.marks.take_away_unknown(&self.workers, commit);
         for id in self.unmarked_silent(now) {
@@ -159,7 +165,7 @@
         changed.then(|| self.marks.asked.clone())
     }
 
-    /// Workers without a mark that are silent, or about to count as silent while few are.
+    /// Workers without a record that are silent, or that are unresponsive while few workers are.
     fn unmarked_silent(&self, now: Millis) -> Vec<WorkerId> {
         let suspects = self.workers.values();
         let suspects = suspects.filter(|worker| worker.is_suspect(now)).count();
@@ -172,7 +178,7 @@
         unmarked.map(|(id, _)| id.clone()).collect()
     }
 
-    /// From when on nothing that was leased to a worker can be at work there.
+    /// The time from which nothing that was leased to a worker can be running there.
     fn lease_over_at(&self, now: Millis, worker: &WorkerId) -> Millis {
         let known = self.workers.get(worker);
         let own = known.and_then(|worker| worker.life.lease_over_at());
@@ -181,7 +187,7 @@
         own.or(inherited).unwrap_or(now)
     }
 
-    /// Shows a worker's mark where decisions look at it.
+    /// Copies a worker's record state to the worker, where decisions read it.
     fn show_mark(&mut self, worker: &WorkerId) {
         let mark = self.marks.of(worker);
         if let Some(state) = self.workers.get_mut(worker) {
@@ -189,7 +195,8 @@
         }
     }
 
-    /// Takes over an earlier owner's marks: nobody has to wait for a marked worker beyond the time that its mark names.
+    /// Takes over an earlier owner's records: nobody waits for a recorded worker beyond the time in
+    /// its record.
     pub(crate) fn take_over_marks(&mut self, now: Millis, store_ms: u64, marks: SilentWorkers) {
         let workers: Vec<(WorkerId, u64)> = marks.over_at.clone().into_iter().collect();
         for (id, suspects) in &marks.suspects {
@@ -209,7 +216,7 @@
         }
     }
 
-    /// A commit took effect: the marks that it took away are gone for certain.
+    /// Handles a commit that took effect: the records that it removed can't be read any more.
     pub(crate) fn note_marks_gone(&mut self, now: Millis, commit: u64) {
         for id in self.marks.note_committed(commit) {
             self.show_mark(&id);
--- a/crates/jobs/src/takeover.rs
+++ b/crates/jobs/src/takeover.rs
@@ -1,4 +1,4 @@
-//! What an owner takes over from the one before, and whom it waits for.
+//! What an owner inherits from the previous one, and which workers it waits for.
 
 use std::collections::BTreeMap;
 
@@ -11,40 +11,44 @@
 use crate::roster::WorkerRoster;
 use crate::silent::SilentWorkers;
 
-/// The epoch of the very first owner: nobody has leased anything before.
+/// The epoch of the first owner of a shard. No lease was granted before it.
 pub(crate) const FIRST_EPOCH: Epoch = 1;
 
-/// What an owner takes over.
+/// What an owner inherits at a takeover.
 #[derive(Clone, Debug, Default)]
 pub struct TakeoverInfo {
     /// The owner's epoch; every order carries it.
     pub epoch: Epoch,
-    /// When the claim took effect, on the scheduler's clock.
+    /// When the claim took effect, on the scheduler's clock in milliseconds.
     pub claimed_at: Millis,
-    /// The version as of which jobs were read; jobs up to it may be known to an earlier owner.
+    /// The store version at which the jobs were read. An earlier owner may know jobs up to this
+    /// version.
     pub claim_version: u64,
-    /// The time of day at the claim, in milliseconds since 1970; 0 where it is not known.
+    /// The time of day at the claim, in milliseconds since 1970; 0 if it is unknown.
     pub wall_ms: u64,
-    /// Whether the jobs and their progress have yet to be read; they come with [`JobEvent::StateRead`], and until then the
-    /// workers are held and nothing is started.
+    /// Whether the jobs and their progress have not been read yet. They arrive with
+    /// [`JobEvent::StateRead`]; until then the leases of the workers are renewed and nothing is
+    /// started.
     pub state_pending: bool,
-    /// What is durable of jobs.
+    /// The durable progress of the jobs.
     pub progress: BTreeMap<JobNumber, ProgressRow>,
-    /// Since which epoch all owners keep to what they publish of leases; 0 where the one before is not known to. What an owner
-    /// published before that says nothing: one of an earlier version may have granted longer leases since.
+    /// The epoch since which every owner keeps to the lease length that it publishes in the roster;
+    /// 0 if the previous owner may not. Lease lengths published by earlier owners are not trusted:
+    /// an owner of an older version may have granted longer leases since.
     pub rules_since: Epoch,
-    /// The workers that an earlier owner gave orders to.
+    /// The workers that an earlier owner sent orders to.
     pub roster: WorkerRoster,
-    /// Which of them had fallen silent, and until when their leases last.
+    /// Which of these workers had become silent, and until when their leases last.
     pub silent: SilentWorkers,
-    /// What the store's clock shows at least at the claim, in milliseconds.
+    /// A lower bound of the store's clock at the claim, in milliseconds.
     pub store_ms: u64,
-    /// What an earlier owner had learnt of images.
+    /// What an earlier owner has learnt about images.
     pub strengths: StrengthRow,
 }
 
 impl TakeoverInfo {
-    /// How long the leases are at most that an earlier owner granted.
+    /// The longest lease that an earlier owner may have granted, in milliseconds; 0 for the first
+    /// owner.
     pub(crate) fn inherited_lease_ms(&self, limits: &SchedulerLimits) -> Millis {
         let trusted = self.rules_since > 0 && self.roster.epoch >= self.rules_since;
         match self.epoch {
@@ -54,7 +58,7 @@
         }
     }
 
-    /// What the very first owner finds: nothing.
+    /// The state at the start of the first owner, which inherits nothing.
     pub fn first(epoch: Epoch, claimed_at: Millis) -> Self {
         Self {
             epoch,
@@ -64,24 +68,27 @@
     }
 }
 
-/// Workers that an earlier owner may have left tasks on and that have not answered yet.
+/// The workers that may hold tasks of an earlier owner and that have not answered this owner yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
-    /// From when on nothing of an earlier owner's can be at work on each.
+    /// For each worker, the time from which nothing of an earlier owner can be running there.
     pub(crate) unanswered: BTreeMap<WorkerId, Millis>,
-    /// From when on nothing that an earlier owner leased can be at work.
+    /// The time from which nothing that an earlier owner leased can be running anywhere.
     pub(crate) until: Millis,
-    /// From when on jobs that are newer than the takeover don't wait for workers that have not answered: only an earlier
-    /// owner that still reaches such a worker could have started them there.
+    /// The time from which jobs that are newer than the takeover don't wait for unanswered workers
+    /// any more: only an earlier owner that still reaches such a worker could have started them
+    /// there.
     pub(crate) fresh_until: Millis,
-    /// Whether the list of workers has been read since the claim.
+    /// Whether the worker list has been read since the claim.
     pub(crate) listed: bool,
-    /// Whether a worker was lost that an earlier owner had given orders to and that had not answered.
+    /// Whether a worker was lost that an earlier owner had sent orders to and that had not answered
+    /// this owner.
     pub(crate) lost_some: bool,
 }
 
 impl Recovery {
-    /// From when on nothing of an earlier owner's can be at work on a worker that has not answered.
+    /// The time from which nothing of an earlier owner can be running on a worker that has not
+    /// answered.
     pub(crate) fn over_at(&self, worker: &WorkerId) -> Millis {
         self.unanswered.get(worker).copied().unwrap_or(self.until)
     }
--- a/crates/jobs/src/tenure.rs
+++ b/crates/jobs/src/tenure.rs
@@ -1,13 +1,16 @@
-//! How long an owner can be sure that nobody has followed it, and what it leaves undone where it can't.
+//! How long an owner can be sure that no successor has taken over, and what it refrains from when
+//! it is not.
 //!
-//! An owner that can't renew its ownership may be followed without hearing of it: where its hall is cut off one way or both, its successor
-//! reaches other workers than it does. The successor waits for leases that it can't ask about until they must be over, and starts what was
-//! at work there. So from the time at which it may have been followed, an owner prolongs no lease, starts nothing, stops nothing that it would have to
-//! start elsewhere, and takes no lease for over: others may have prolonged it. Ends are taken in and runs that are over for good are stopped all the
-//! same, which is right under either owner.
+//! An owner that can't renew its ownership may be succeeded without noticing. If its hall is cut
+//! off in one direction or both, its successor reaches other workers than it does. The successor
+//! waits until the leases of the workers that it can't reach must have expired, and then starts the
+//! tasks of these workers elsewhere. So from the time at which a successor may have taken over, an
+//! owner extends no lease, starts nothing, stops no run whose task it would have to start
+//! elsewhere, and treats no lease as expired, since the successor may have extended it. It still
+//! processes ends and stops runs that are over for good: both are right under either owner.
 //!
-//! In an outage of the store that all hosts share nobody can follow. Hosts that say so keep an owner sure ([`OwnerTenure::note_vouched`]), so
-//! that work goes on for as long as it lasts.
+//! When the store is out for all hosts, nobody can take over. Hosts that report so keep an owner
+//! sure ([`OwnerTenure::note_vouched`]), so that work continues during the outage.
 
 use sandshelf_model::Millis;
 
@@ -15,20 +18,21 @@
 use crate::note::JobNote;
 use crate::scheduler::JobScheduler;
 
-/// What an owner leaves of the margin by which its successor waits longer than leases last: its orders take a moment to go out.
+/// The part of the takeover margin that the owner leaves for sending its orders, in milliseconds.
+/// The margin is the time by which a successor waits longer than the leases last.
 const SENDING_MS: Millis = 200;
 
-/// What tells an owner that nobody has followed it.
+/// Tracks until when an owner can be sure that no successor has taken over.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerTenure {
-    /// How long nobody claims the shard after a durable renewal.
+    /// How long after a durable renewal of the ownership nobody claims the shard, in milliseconds.
     lease_ms: Millis,
-    /// Before this time nobody claims it.
+    /// Nobody claims the shard before this time.
     free_until: Millis,
 }
 
 impl OwnerTenure {
-    /// Begins with a claim that was sent at a time.
+    /// Starts the tenure with a claim that was sent at `claimed_at`.
     pub fn new(lease_ms: Millis, claimed_at: Millis) -> Self {
         Self {
             lease_ms,
@@ -36,37 +40,39 @@
         }
     }
 
-    /// Notes that a renewal took effect which was sent at a time; returns until when nobody claims the shard by that alone.
+    /// Records a successful renewal that was sent at `sent`. Returns the time until which this
+    /// renewal alone keeps others from claiming the shard.
     pub fn note_renewed(&mut self, sent: Millis) -> Millis {
         let until = sent + self.lease_ms;
         self.note_vouched(until);
         until
     }
 
-    /// Notes that no host claims the shard before a time.
+    /// Records that no host claims the shard before `until`.
     pub fn note_vouched(&mut self, until: Millis) {
         self.free_until = self.free_until.max(until);
     }
 
-    /// Until when a successor that has come unheard still waits for all that this owner orders.
+    /// The time until which an unnoticed successor would still wait for everything that this owner
+    /// orders.
     pub fn sure_until(&self) -> Millis {
         self.free_until + TAKEOVER_MARGIN_MS - SENDING_MS
     }
 }
 
 impl JobScheduler {
-    /// Takes in until when nobody can have followed this owner to any effect.
+    /// Handles a new time until which no successor can have become active.
     pub(crate) fn take_tenure(&mut self, now: Millis, sure_until: Millis) {
         self.sure_until = sure_until;
         self.look_at_tenure(now);
     }
 
-    /// Whether another owner may have followed this one, as far as it knows.
+    /// Whether a successor may have taken over, as far as this owner knows.
     pub(crate) fn may_be_followed(&self, now: Millis) -> bool {
         now >= self.sure_until
     }
 
-    /// Tells when this owner begins to be unsure, and when that is over.
+    /// Logs when this owner becomes unsure of its ownership, and when it is sure again.
     pub(crate) fn look_at_tenure(&mut self, now: Millis) {
         match (self.may_be_followed(now), self.unsure_since) {
             (true, None) => {
@@ -75,7 +81,7 @@
             }
             (false, Some(since)) => {
                 self.unsure_since = None;
-                // What waits has its turn, and leases are prolonged, at once.
+                // Waiting tasks are placed and leases are renewed at once.
                 self.room_changed = true;
                 let workers: Vec<_> = self.workers.keys().cloned().collect();
                 for worker in workers {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker: its clock, its lease, and the runs that may be at work there.
+//! The state of one worker: its clock, its lease, and the runs that may be running there.
 
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
@@ -17,65 +17,67 @@
 use crate::run::{RunPhase, RunRecord};
 use crate::swing::LoadBook;
 
-/// Whether it is written down that the lease of a silent worker ends, so that nothing may prolong it.
+/// Whether a durable silence record says when the lease of a silent worker ends. The lease must not
+/// be renewed while a successor could read such a record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum LeaseMark {
-    /// It isn't.
+    /// There is no record.
     #[default]
     None,
-    /// It is, or a write that says so is under way.
+    /// The record is durable, or its write is in progress.
     Marked,
-    /// The commit of this number takes the mark away.
+    /// The commit with this number removes the record.
     Removed(u64),
 }
 
-/// One worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerState {
     pub(crate) entry: WorkerListing,
-    /// Whether the newest list names it.
+    /// Whether the newest worker list contains it.
     pub(crate) listed: bool,
-    /// Whether lists go without it although the store has been well for long enough: it is about to leave without a word,
-    /// or can't reach the store.
+    /// Whether worker lists have omitted it although the store has been available for long enough:
+    /// it is about to leave without an announcement, or it can't reach the store.
     pub(crate) missing: bool,
-    /// Whether the newest list has an entry of its name that can't be read.
+    /// Whether its entry in the newest worker list can't be decoded.
     pub(crate) unreadable: bool,
     /// Whether operators have evacuated its hall.
     pub(crate) evacuated: bool,
-    /// Its present life.
+    /// The state of its current incarnation.
     pub(crate) life: LifeState,
     pub(crate) hold_sent: Option<Millis>,
-    /// How long the worker may wait before it answers the hold that is under way.
+    /// How long the worker may wait before it answers the renewal in flight, in milliseconds.
     pub(crate) hold_wait: Millis,
-    /// Which ends that hold acknowledges.
+    /// The number of the newest end that the renewal in flight acknowledges; 0 for none.
     pub(crate) hold_seen: u64,
-    /// Whether it prolongs the lease.
+    /// Whether the renewal in flight extends the lease.
     pub(crate) hold_prolongs: bool,
     pub(crate) hold_due: Millis,
-    /// How long the next hold is put off after an answer.
+    /// The pause between an answer and the next renewal, in milliseconds.
     pub(crate) hold_gap: Millis,
     pub(crate) last_answer: Millis,
     pub(crate) told_silent: bool,
-    /// Whether the newest hold got no answer, or a life that is not known has answered an order: before a hold is answered nothing prolongs
-    /// the lease, so that it runs out.
+    /// Whether the newest renewal got no answer, or an unknown incarnation has answered an order.
+    /// Until a renewal is answered nothing extends the lease, so that it expires.
     pub(crate) unsure: bool,
-    /// How many holds on end got no answer.
+    /// How many consecutive renewals got no answer.
     pub(crate) failed_holds: u32,
-    /// Whether a successor would read that its lease ends.
+    /// Whether a successor could read a silence record of this worker.
     pub(crate) mark: LeaseMark,
-    /// Until when it gets no new tasks.
+    /// The worker gets no new tasks before this time.
     pub(crate) paused_until: Millis,
     pub(crate) runs: BTreeMap<RunKey, RunRecord>,
-    /// Runs given up that may have brought it down, should it turn out to have crashed.
+    /// Runs that were given up and that may have caused a crash of this worker, if it turns out to
+    /// have crashed.
     pub(crate) suspects: Vec<CrashSuspect>,
     used: ResourceSize,
-    /// How many runs there are of which nobody knows what they take.
+    /// The number of runs whose size is unknown.
     unsized_runs: usize,
     ordinary_cpu: u64,
     filling_cpu: u64,
-    /// When what fills here last changed: a task came or went, or was given another pace.
+    /// When the filling tasks here last changed: one was added or removed, or got another pace.
     pub(crate) fills_changed_at: Millis,
-    /// The tasks here as the dealing of shares sees them, from when they were first asked for after a change.
+    /// The tasks here in the form that the pacing of filling tasks uses. Built on first use after a
+    /// change.
     board: OnceCell<FillBoard>,
 }
 
@@ -111,18 +113,18 @@
         }
     }
 
-    /// The tasks here as the dealing of shares sees them.
+    /// The tasks here in the form that the pacing of filling tasks uses.
     pub(crate) fn board(&self, press: &PressEstimate, loads: &LoadBook, now: Millis) -> &FillBoard {
         self.board
             .get_or_init(|| FillBoard::new(self, press, loads, now))
     }
 
-    /// Notes that the tasks here, or what is read of them, have changed.
+    /// Discards the cached board because the tasks here, or their readings, have changed.
     pub(crate) fn forget_board(&mut self) {
         self.board.take();
     }
 
-    /// Notes an answer of its present life.
+    /// Records an answer of the current incarnation.
     pub(crate) fn note_answer(&mut self, now: Millis, sight: ClockSight) {
         self.last_answer = now;
         self.told_silent = false;
@@ -131,8 +133,8 @@
         self.life.note_clock(now, sight);
     }
 
-    /// Takes in the clock that an order was answered with; returns whether the known life has answered. Where it was another one, a
-    /// hold has to tell which.
+    /// Records the clock in an answer to an order. Returns whether the current incarnation
+    /// answered. If not, a renewal has to find out which one did.
     pub(crate) fn take_sight(&mut self, now: Millis, sight: ClockSight) -> bool {
         let known = self.life.answered(now, sight);
         match known {
@@ -142,13 +144,14 @@
         known
     }
 
-    /// How long after a run began the worker was last heard, by its own clock; none where nothing told that it began.
+    /// How long after the start of a run the worker was last heard from, on the worker's clock;
+    /// `None` if no answer said that the run began.
     pub(crate) fn heard_after(&self, record: &RunRecord) -> Option<Millis> {
         let heard = self.life.read_clock()?;
         Some(heard.saturating_sub(record.began?))
     }
 
-    /// Of the orders to start without an answer, the one that was sent first.
+    /// The start order that was sent first among those that were not answered.
     pub(crate) fn first_unanswered(&self) -> Option<CrashSuspect> {
         let unanswered = self
             .runs
@@ -162,15 +165,18 @@
         })
     }
 
-    /// Whether its lease may be prolonged.
+    /// Whether its lease may be extended.
     pub(crate) fn may_prolong(&self) -> bool {
         self.mark == LeaseMark::None && !self.unsure
     }
 
-    /// Whether ends may be acknowledged: whoever takes the acknowledgement is the life that listed them.
+    /// Whether ends may be acknowledged: the incarnation that receives the acknowledgement must be
+    /// the one that listed them.
     ///
-    /// A worker that has started again numbers its ends anew, and would forget those that bear known numbers unread. So the known life
-    /// was heard a moment ago; and while a start may have been carried out by one that has come since, nothing is acknowledged.
+    /// A restarted worker numbers its ends anew, and would drop ends that bear acknowledged numbers
+    /// although this owner never read them. So ends are acknowledged only shortly after the current
+    /// incarnation has answered, and not while a start order may have been carried out by a newer
+    /// incarnation.
     pub(crate) fn may_acknowledge(&self, now: Millis) -> bool {
         let sure = |record: &RunRecord| {
             record.listed || record.answered_at.is_some() || record.ordered_at == now
@@ -179,17 +185,17 @@
         fresh && !self.unsure && self.runs.values().all(sure)
     }
 
-    /// Whether ends wait to be acknowledged.
+    /// Whether there are durable ends that were not acknowledged yet.
     pub(crate) fn owes_acknowledgement(&self) -> bool {
         self.life.durable > self.life.acknowledged
     }
 
-    /// Whether ends wait to be acknowledged that may not be yet.
+    /// Whether there are ends to acknowledge that may not be acknowledged yet.
     pub(crate) fn withholds_ends(&self, now: Millis) -> bool {
         self.owes_acknowledgement() && !self.may_acknowledge(now)
     }
 
-    /// Whether a start was ordered a moment ago whose answer is due.
+    /// Whether a start order was sent a moment ago and its answer may still arrive in time.
     pub(crate) fn awaits_start(&self, now: Millis) -> bool {
         let awaited = |record: &RunRecord| {
             record.phase == RunPhase::Ordered && now < record.ordered_at + START_ANSWER_MS
@@ -197,7 +203,7 @@
         self.runs.values().any(awaited)
     }
 
-    /// Whether it has not answered for a while.
+    /// Whether the worker has not answered for longer than expected.
     pub(crate) fn is_silent(&self, now: Millis) -> bool {
         let waits = if self.hold_sent.is_some() {
             self.hold_wait
@@ -208,19 +214,22 @@
         self.told_silent || now.saturating_sub(self.last_answer) > quiet
     }
 
-    /// Whether it is to be marked as silent: two holds on end got no answer, or it has not answered a new owner soon. A single
-    /// call that gets lost says nothing, and while a mark stands nothing prolongs the lease.
+    /// Whether the worker should get a silence record: two consecutive renewals got no answer, or
+    /// it did not answer a new owner in time. A single lost call is no evidence, and while a record
+    /// exists the lease can't be extended.
     pub(crate) fn is_suspect(&self, now: Millis) -> bool {
         let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
         self.failed_holds >= SUSPECT_AFTER_HOLDS || !self.life.fenced && late
     }
 
-    /// Whether its entry is of another life than the present one, which may be of another kind, have another room or be about to leave.
+    /// Whether its list entry is of another incarnation than the current one. That incarnation may
+    /// have another kind or capacity, or may be about to leave.
     pub(crate) fn is_unshown(&self) -> bool {
         self.life.is_other(self.entry.life)
     }
 
-    /// Whether it may be given tasks, which prolongs its lease. One that answers is there, also where a list that suffered with the store omits it.
+    /// Whether it may be given tasks, which extends its lease. A worker that answers exists, even
+    /// if a worker list omits it because of problems with the store.
     pub(crate) fn is_open(&self, now: Millis) -> bool {
         let leaves = self.entry.draining || self.missing || self.is_unshown();
         let leaves = leaves || self.evacuated;
@@ -228,8 +237,9 @@
         self.life.fenced && prolongs && !leaves && now >= self.paused_until && !self.is_silent(now)
     }
 
-    /// Whether tasks may be at work here that only its own answers tell of. One that leaves and has ended all that it was given
-    /// gets nothing new, so that nobody has to wait for its answer.
+    /// Whether tasks may be running here that only the worker's own answers reveal. A draining
+    /// worker whose runs have all ended gets no new ones, so that nobody has to wait for its
+    /// answer.
     pub(crate) fn may_hold_tasks(&self) -> bool {
         let emptied = self.life.fenced && self.runs.is_empty() && !self.life.has_unwritten();
         !(self.entry.draining && emptied)
@@ -239,7 +249,7 @@
         self.entry.capacity.saturating_minus(&self.used)
     }
 
-    /// What would be free were its room only so many percent of what is known.
+    /// The capacity that would be free if only this percentage of the known capacity existed.
     pub(crate) fn free_of(&self, percent: u64) -> ResourceSize {
         let ResourceSize {
             cpu_millis,
@@ -251,12 +261,12 @@
         room.saturating_minus(&self.used)
     }
 
-    /// Whether anything runs here of which nobody knows what it takes.
+    /// Whether any run here has an unknown size.
     pub(crate) fn has_unsized(&self) -> bool {
         self.unsized_runs > 0
     }
 
-    /// The processors that tasks hold which neither stand nor fill, in thousandths of a core.
+    /// The processors held by tasks that neither stand nor fill, in thousandths of a core.
     pub(crate) fn ordinary_cpu(&self) -> u64 {
         self.ordinary_cpu
     }
@@ -277,7 +287,7 @@
         removed
     }
 
-    /// What fills here, by the newest readings.
+    /// The processor use of the filling tasks here, by image, from the newest readings.
     pub(crate) fn fill_loads(&self) -> FillLoads {
         let capacity = self.entry.capacity.cpu_millis.max(1) as f64;
         let mut loads = FillLoads::default();
