--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -3,7 +3,7 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::ids::{RunKey, TaskKey};
-use crate::life::ClockSight;
+use crate::incarnation::ClockSample;
 use crate::limits::{
     INVALID_PAUSE_MS, NO_ROOM_PAUSE_MS, OLDEST_ANSWER_MS, UNHEALTHY_PAUSE_MS, UNREACHABLE_PAUSE_MS,
 };
@@ -32,8 +32,8 @@
         match answer {
             OrderAnswer::Done(clock) => self.run_began(now, worker, key, clock),
             OrderAnswer::Refused(clock, reason) => {
-                let asked = self.start_asked(now, worker, &key);
-                self.take_sight(now, worker, ClockSight { clock, asked });
+                let sent_at = self.start_sent_at(now, worker, &key);
+                self.record_order_clock(now, worker, ClockSample { clock, sent_at });
                 match reason {
                     RefusalReason::Fenced => self.deposed = true,
                     RefusalReason::NoRoom => self.pause_worker(worker, now + NO_ROOM_PAUSE_MS),
@@ -64,7 +64,7 @@
 
     /// When the start order of a run was sent. An order that is not known any more may have been
     /// sent long ago.
-    fn start_asked(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
+    fn start_sent_at(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
         let state = self.workers.get(worker);
         let record = state.and_then(|state| state.runs.get(key));
         record.map_or(now.saturating_sub(OLDEST_ANSWER_MS), |record| {
@@ -73,8 +73,8 @@
     }
 
     fn run_began(&mut self, now: Millis, worker: &WorkerId, key: RunKey, clock: u64) {
-        let asked = self.start_asked(now, worker, &key);
-        let known = self.take_sight(now, worker, ClockSight { clock, asked });
+        let sent_at = self.start_sent_at(now, worker, &key);
+        let known = self.record_order_clock(now, worker, ClockSample { clock, sent_at });
         if let Some(record) = self.record_mut(worker, &key) {
             let settles = matches!(record.phase, RunPhase::Ordered | RunPhase::Unsettled);
             if known {
@@ -141,11 +141,11 @@
     /// incarnation that the order was meant for.
     fn stop_answered(&mut self, now: Millis, worker: &WorkerId, key: RunKey, clock: u64) {
         let record = self.record_mut(worker, &key);
-        let asked = match record.map(|record| record.phase) {
+        let sent_at = match record.map(|record| record.phase) {
             Some(RunPhase::Stopping { sent, .. }) => sent,
             _ => now.saturating_sub(OLDEST_ANSWER_MS),
         };
-        let known = self.take_sight(now, worker, ClockSight { clock, asked });
+        let known = self.record_order_clock(now, worker, ClockSample { clock, sent_at });
         if let Some(record) = self.record_mut(worker, &key).filter(|_| known) {
             if let RunPhase::Stopping { answered, .. } = &mut record.phase {
                 *answered = Some(clock);
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -110,11 +110,11 @@
 
     fn noted_ends(&self) -> Vec<NotedEnds> {
         let fresh = self.workers.iter();
-        let fresh = fresh.filter(|(_, worker)| worker.life.has_unwritten());
+        let fresh = fresh.filter(|(_, worker)| worker.incarnation.has_unwritten());
         let ends = fresh.map(|(id, worker)| NotedEnds {
             worker: id.clone(),
-            life: worker.life.name,
-            newest: worker.life.noted,
+            life: worker.incarnation.id,
+            newest: worker.incarnation.noted,
         });
         ends.collect()
     }
@@ -124,12 +124,14 @@
         let named: Vec<_> = known.filter(|(id, _)| self.roster.contains(*id)).collect();
         let workers = named.iter();
         let workers = workers.map(|(id, worker)| ((*id).clone(), worker.entry.address));
-        let told = named.iter().any(|(_, worker)| worker.life.name.is_some());
+        let told = named
+            .iter()
+            .any(|(_, worker)| worker.incarnation.id.is_some());
         let lives = named.iter().filter(|_| told);
         WorkerRoster {
             epoch: self.epoch,
             workers: workers.collect(),
-            lives: lives.map(|(_, worker)| worker.life.name).collect(),
+            lives: lives.map(|(_, worker)| worker.incarnation.id).collect(),
             lease_ms: Some(self.roster_lease_ms),
         }
     }
@@ -139,7 +141,7 @@
         let gap = self.strain.hold_gap_ms();
         for ends in self.noted_ends() {
             if let Some(state) = self.workers.get_mut(&ends.worker) {
-                state.life.durable = ends.newest;
+                state.incarnation.durable = ends.newest;
             }
             self.hold_at(&ends.worker, now + gap);
         }
@@ -157,11 +159,11 @@
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
             // End numbers of an earlier incarnation don't apply to the current one.
-            let Some(state) = state.filter(|state| state.life.name == ends.life) else {
+            let Some(state) = state.filter(|state| state.incarnation.id == ends.life) else {
                 continue;
             };
-            state.life.durable = state.life.durable.max(ends.newest);
-            if !state.life.has_unwritten() {
+            state.incarnation.durable = state.incarnation.durable.max(ends.newest);
+            if !state.incarnation.has_unwritten() {
                 self.hold_at(&ends.worker, now + gap);
             }
         }
--- a/crates/jobs/src/crash/book.rs
+++ b/crates/jobs/src/crash/book.rs
@@ -12,7 +12,7 @@
 /// An incarnation of a worker that is presumed to have crashed.
 #[derive(Clone, Debug)]
 pub(super) struct BlamedLife {
-    pub(super) life: Option<WorkerLife>,
+    pub(super) incarnation: Option<WorkerLife>,
     /// The runs under which the crash was recorded.
     pub(super) runs: Vec<RunKey>,
 }
--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -118,7 +118,10 @@
         }
         let place = StartPlace {
             worker: worker.clone(),
-            life: self.workers.get(worker).and_then(|state| state.life.name),
+            incarnation: self
+                .workers
+                .get(worker)
+                .and_then(|state| state.incarnation.id),
         };
         let job = self.jobs.get_mut(&key.task.job);
         if let Some(task) = job.and_then(|job| job.task_mut(&key.task)) {
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/noted.rs
@@ -7,8 +7,8 @@
 use super::record::StartPlace;
 use super::{CrashNote, StartCaution};
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::incarnation::certainly_differ;
 use crate::job::TaskStage;
-use crate::life::are_others;
 use crate::limits::{
     ALONE_FROM_CRASHES, CRASH_WAIT_MS, FEWEST_IN_HERD, HERD_MS, HERD_OF_WORKERS,
     UNFOUND_WATCHED_AT_MOST,
@@ -170,9 +170,9 @@
         };
         let suspects = self.crash_suspects(state);
         let runs: Vec<RunKey> = suspects.iter().map(|suspect| suspect.key).collect();
-        let life = state.life.name;
+        let incarnation = state.incarnation.id;
         if !runs.is_empty() {
-            let blamed = BlamedLife { life, runs };
+            let blamed = BlamedLife { incarnation, runs };
             self.crashes.blamed.insert(worker.clone(), blamed);
         }
     }
@@ -180,11 +180,11 @@
     /// Handles an answer of a worker that was presumed to have crashed. If it is the same
     /// incarnation, it was only cut off, and the crash notes under its runs are withdrawn. A worker
     /// that has restarted did crash.
-    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, life: Option<WorkerLife>) {
+    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, incarnation: Option<WorkerLife>) {
         let Some(blamed) = self.crashes.blamed.remove(worker) else {
             return;
         };
-        if are_others(blamed.life, life) {
+        if certainly_differ(blamed.incarnation, incarnation) {
             return;
         }
         for key in blamed.runs {
@@ -255,11 +255,12 @@
     fn note_lost_start(&mut self, now: Millis, place: &StartPlace, key: RunKey) {
         let state = self.workers.get(&place.worker);
         let stands = |state: &WorkerState| {
-            let life = match state.life.fenced {
-                true => state.life.name,
+            let incarnation = match state.incarnation.fenced {
+                true => state.incarnation.id,
                 false => state.entry.life,
             };
-            (state.life.fenced || state.listed) && !are_others(place.life, life)
+            (state.incarnation.fenced || state.listed)
+                && !certainly_differ(place.incarnation, incarnation)
         };
         if state.is_some_and(stands) {
             return;
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -63,7 +63,7 @@
 pub(super) struct StartPlace {
     pub(super) worker: WorkerId,
     /// The worker's incarnation.
-    pub(super) life: Option<WorkerLife>,
+    pub(super) incarnation: Option<WorkerLife>,
 }
 
 /// The caution with which a task is started.
@@ -139,14 +139,20 @@
     /// Where the task was started after the newest crash, and the number of that run.
     pub(super) fn started(&self) -> Option<(StartPlace, u64)> {
         let (worker, run) = self.started.clone()?;
-        let life = self.started_in;
-        Some((StartPlace { worker, life }, run))
+        let incarnation = self.started_in;
+        Some((
+            StartPlace {
+                worker,
+                incarnation,
+            },
+            run,
+        ))
     }
 
     /// Records that the task is started again.
     pub(super) fn note_start(&mut self, place: StartPlace, run: u64) {
         self.started = Some((place.worker, run));
-        self.started_in = place.life;
+        self.started_in = place.incarnation;
     }
 
     /// Records that a crash may have gone unrecorded.
--- a/crates/jobs/src/guard.rs
+++ b/crates/jobs/src/guard.rs
@@ -9,7 +9,7 @@
 use crate::fill::{FillAsk, FillUrgency};
 use crate::ids::RunKey;
 use crate::images::ImageId;
-use crate::life::ClockSight;
+use crate::incarnation::ClockSample;
 use crate::limits::OLDEST_ANSWER_MS;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{OrderAnswer, RefusalReason};
@@ -185,8 +185,8 @@
     ) {
         match answer {
             OrderAnswer::Done(clock) => {
-                let asked = now.saturating_sub(OLDEST_ANSWER_MS);
-                self.take_sight(now, worker, ClockSight { clock, asked });
+                let sent_at = now.saturating_sub(OLDEST_ANSWER_MS);
+                self.record_order_clock(now, worker, ClockSample { clock, sent_at });
             }
             OrderAnswer::Refused(_, RefusalReason::Fenced) => self.deposed = true,
             OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -8,8 +8,8 @@
 use crate::due::{DueTimes, TaskChain};
 use crate::events::{HoldCall, WorkerCall};
 use crate::ids::RunKey;
+use crate::incarnation::ClockSample;
 use crate::job::TaskStage;
-use crate::life::ClockSight;
 use crate::limits::{
     FOREIGN_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, IDLE_HOLD_WAIT_MS, MARKED_HOLD_MS, PROVEN_AFTER_MS,
     TICK_MS, UNACKNOWLEDGED_HOLD_MS, UNREACHABLE_PAUSE_MS,
@@ -48,7 +48,7 @@
             worker.hold_seen = call.last_seen;
             worker.hold_prolongs = call.deadline.is_some();
             if let Some(deadline) = call.deadline {
-                worker.life.granted = worker.life.granted.max(deadline);
+                worker.incarnation.lease_deadline = worker.incarnation.lease_deadline.max(deadline);
             }
             self.call(&id, WorkerCall::Hold(call));
         }
@@ -113,27 +113,27 @@
         }
     }
 
-    /// Handles a worker's report; the renewal that it answers was sent at `asked`.
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: HoldReport) {
-        self.take_life(now, worker, asked, &report);
+    /// Handles a worker's report; the renewal that it answers was sent at `sent_at`.
+    fn take_report(&mut self, now: Millis, worker: &WorkerId, sent_at: Millis, report: HoldReport) {
+        self.update_incarnation(now, worker, sent_at, &report);
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        state.life.acknowledged = state.life.acknowledged.max(state.hold_seen);
-        let sight = ClockSight {
+        state.incarnation.acknowledged = state.incarnation.acknowledged.max(state.hold_seen);
+        let sample = ClockSample {
             clock: report.clock,
-            asked,
+            sent_at,
         };
-        state.note_answer(now, sight);
+        state.note_answer(now, sample);
         state.suspects.clear();
-        let first = !state.life.fenced;
-        state.life.fenced = true;
+        let first = !state.incarnation.fenced;
+        state.incarnation.fenced = true;
         if first {
             // Until this owner extends it, the lease is the one that the earlier owner granted.
             let inherited = report.clock + self.inherited_lease_ms;
-            state.life.granted = state.life.granted.max(inherited);
+            state.incarnation.lease_deadline = state.incarnation.lease_deadline.max(inherited);
         }
-        let noted = state.life.noted;
+        let noted = state.incarnation.noted;
         self.withdraw_crash(worker, report.life);
         if first {
             self.note(JobNote::Fenced {
@@ -163,8 +163,8 @@
             self.take_end(now, worker, end);
         }
         if let Some(state) = self.workers.get_mut(worker) {
-            state.life.noted = newest;
-            self.unacknowledged |= newest > state.life.durable;
+            state.incarnation.noted = newest;
+            self.unacknowledged |= newest > state.incarnation.durable;
         }
         let mut listed = BTreeSet::new();
         for run in report.running {
@@ -175,11 +175,11 @@
             }
             self.take_running(now, worker, report.clock, run);
         }
-        let sight = ClockSight {
+        let sample = ClockSample {
             clock: report.clock,
-            asked,
+            sent_at,
         };
-        self.drop_missing(now, worker, sight, &listed);
+        self.drop_missing(now, worker, sample, &listed);
         if first {
             self.note_answered(worker);
             self.check_recovery(now);
@@ -213,7 +213,7 @@
             LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
         };
         state.hold_gap = gap;
-        let pause = if state.life.has_unwritten() {
+        let pause = if state.incarnation.has_unwritten() {
             UNACKNOWLEDGED_HOLD_MS.max(gap)
         } else if state.withholds_ends(now) {
             // A worker that lists ends answers at once, whatever wait it is allowed.
@@ -329,18 +329,18 @@
         &mut self,
         now: Millis,
         worker: &WorkerId,
-        sight: ClockSight,
+        sample: ClockSample,
         listed: &BTreeSet<RunKey>,
     ) {
-        let ClockSight { clock, asked } = sight;
+        let ClockSample { clock, sent_at } = sample;
         let Some(state) = self.workers.get(worker) else {
             return;
         };
         let missing = state.runs.iter().filter(|(key, record)| {
             let settled = match record.phase {
                 RunPhase::Ordered | RunPhase::Unsettled => clock > record.start_deadline,
-                RunPhase::Elsewhere(answered) => asked >= answered,
-                RunPhase::Running(began) => clock > began && record.would_be_listed(asked),
+                RunPhase::Elsewhere(answered) => sent_at >= answered,
+                RunPhase::Running(began) => clock > began && record.would_be_listed(sent_at),
                 RunPhase::Stopping { answered, .. } => {
                     answered.is_some_and(|answered| clock > answered)
                         || clock > record.start_deadline
@@ -369,19 +369,22 @@
         matches!(record.phase, RunPhase::Stopping { answered, .. } if answered.is_some())
             || record.phase == RunPhase::Unsettled
     });
-    let at_once = !worker.life.fenced || !worker.may_prolong();
-    let wait_ms = if worker.life.has_unwritten() || worker.withholds_ends(now) || at_once {
+    let at_once = !worker.incarnation.fenced || !worker.may_prolong();
+    let wait_ms = if worker.incarnation.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
         strain.hold_wait_ms(HOLD_WAIT_MS)
     } else {
         strain.hold_wait_ms(IDLE_HOLD_WAIT_MS)
     };
-    let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
+    let clock = worker
+        .incarnation
+        .clock(now)
+        .filter(|_| worker.may_prolong());
     HoldCall {
         deadline: clock.zip(lease).map(|(clock, lease)| clock + lease),
         last_seen: match worker.owes_acknowledgement() && worker.may_acknowledge(now) {
-            true => worker.life.durable,
+            true => worker.incarnation.durable,
             false => 0,
         },
         wait_ms,
--- a/crates/jobs/src/life.rs
+++ b/crates/jobs/src/incarnation.rs
@@ -19,33 +19,33 @@
 struct ClockReading {
     clock: WorkerClock,
     /// When the call was sent that this reading answers. The clock was read after that.
-    asked: Millis,
+    sent_at: Millis,
     at: Millis,
 }
 
 /// The clock in a worker's answer to an order, and when the order was sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ClockSight {
+pub(crate) struct ClockSample {
     pub(crate) clock: WorkerClock,
-    pub(crate) asked: Millis,
+    pub(crate) sent_at: Millis,
 }
 
 /// Whether two incarnations of one worker certainly differ. Returns false where either is unknown.
-pub(crate) fn are_others(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
+pub(crate) fn certainly_differ(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
 /// What this owner knows of one incarnation of a worker.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LifeState {
+pub(crate) struct IncarnationState {
     /// The incarnation's identifier; `None` if the worker doesn't report it or has not answered
     /// yet.
-    pub(crate) name: Option<WorkerLife>,
+    pub(crate) id: Option<WorkerLife>,
     /// Whether it has answered under this owner's epoch.
     pub(crate) fenced: bool,
     reading: Option<ClockReading>,
     /// The latest lease deadline that was sent to it, on its clock.
-    pub(crate) granted: WorkerClock,
+    pub(crate) lease_deadline: WorkerClock,
     /// The number of the newest end that was processed; end numbers increase.
     pub(crate) noted: u64,
     /// Ends up to this number are durable and may be acknowledged.
@@ -54,27 +54,27 @@
     pub(crate) acknowledged: u64,
 }
 
-impl LifeState {
+impl IncarnationState {
     /// An incarnation that has not answered yet.
-    pub(crate) fn new(name: Option<WorkerLife>) -> Self {
+    pub(crate) fn new(id: Option<WorkerLife>) -> Self {
         Self {
-            name,
+            id,
             ..Self::default()
         }
     }
 
     /// Whether an incarnation with this identifier certainly differs from this one.
-    pub(crate) fn is_other(&self, name: Option<WorkerLife>) -> bool {
-        are_others(self.name, name)
+    pub(crate) fn is_other(&self, id: Option<WorkerLife>) -> bool {
+        certainly_differ(self.id, id)
     }
 
     /// Records a reading of the worker's clock. A reading older than the newest one is ignored.
-    pub(crate) fn note_clock(&mut self, now: Millis, sight: ClockSight) {
-        let ClockSight { clock, asked } = sight;
+    pub(crate) fn note_clock(&mut self, now: Millis, sample: ClockSample) {
+        let ClockSample { clock, sent_at } = sample;
         if self.reading.is_none_or(|known| clock >= known.clock) {
             self.reading = Some(ClockReading {
                 clock,
-                asked,
+                sent_at,
                 at: now,
             });
         }
@@ -87,18 +87,18 @@
     /// a later incarnation began after that reading, at zero or at an arbitrary value. So a clock
     /// within the expected range belongs to this incarnation, unless this incarnation was younger
     /// than the time that the order and its answer took.
-    pub(crate) fn answered(&self, now: Millis, sight: ClockSight) -> bool {
+    pub(crate) fn has_answered(&self, now: Millis, sample: ClockSample) -> bool {
         let Some(reading) = self.reading else {
             return true;
         };
-        let before = reading.at.saturating_sub(sight.asked);
+        let before = reading.at.saturating_sub(sample.sent_at);
         let least = reading.clock.saturating_sub(before + CLOCK_SLACK_MS);
-        let most = reading.clock + now.saturating_sub(reading.asked) + CLOCK_SLACK_MS;
-        (least..=most).contains(&sight.clock)
+        let most = reading.clock + now.saturating_sub(reading.sent_at) + CLOCK_SLACK_MS;
+        (least..=most).contains(&sample.clock)
     }
 
     /// The newest reading of the worker's clock.
-    pub(crate) fn read_clock(&self) -> Option<WorkerClock> {
+    pub(crate) fn newest_clock(&self) -> Option<WorkerClock> {
         Some(self.reading?.clock)
     }
 
@@ -110,7 +110,7 @@
 
     /// The lowest value that the worker's clock can show at `now`, at the slowest rate that is
     /// allowed.
-    fn least_clock(&self, now: Millis) -> Option<WorkerClock> {
+    fn lowest_clock(&self, now: Millis) -> Option<WorkerClock> {
         let reading = self.reading?;
         let passed = now.saturating_sub(reading.at) * SLOWEST_CLOCK_PERCENT / 100;
         Some(reading.clock + passed)
@@ -118,16 +118,16 @@
 
     /// The time from which every lease granted to this incarnation has certainly expired, unless it
     /// is renewed; `None` before it has answered.
-    pub(crate) fn lease_over_at(&self) -> Option<Millis> {
+    pub(crate) fn lease_expires_at(&self) -> Option<Millis> {
         let reading = self.reading?;
-        let left = (self.granted + 1).saturating_sub(reading.clock);
+        let left = (self.lease_deadline + 1).saturating_sub(reading.clock);
         Some(reading.at + (left * 100).div_ceil(SLOWEST_CLOCK_PERCENT))
     }
 
     /// Whether every lease granted to this incarnation has certainly expired.
-    pub(crate) fn lease_is_over(&self, now: Millis) -> bool {
-        self.least_clock(now)
-            .is_some_and(|clock| clock > self.granted)
+    pub(crate) fn lease_has_expired(&self, now: Millis) -> bool {
+        self.lowest_clock(now)
+            .is_some_and(|clock| clock > self.lease_deadline)
     }
 
     /// Whether ends were processed that are not durable yet.
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -7,8 +7,8 @@
 
 use crate::foreign::ForeignSight;
 use crate::ids::{JobNumber, RunKey, WorkerLife};
+use crate::incarnation::IncarnationState;
 use crate::job::{objective_ms, JobState, TaskStage};
-use crate::life::LifeState;
 use crate::limits::{LIST_GAP_MS, RELIST_MS};
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::progress::ProgressRow;
@@ -179,7 +179,7 @@
         };
         let mark = self.marks.of(&worker);
         let mut state = WorkerState::new(entry, now, mark);
-        state.life = LifeState::new(life);
+        state.incarnation = IncarnationState::new(life);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
         self.hold_at(&worker, now);
@@ -260,7 +260,7 @@
         state.evacuated = self.evacuated.contains(&entry.hall);
         let leaves_now = draining && !state.entry.draining;
         state.entry = entry;
-        if state.is_unshown() && state.entry.life > state.life.name {
+        if state.entry_incarnation_differs() && state.entry.life > state.incarnation.id {
             // It has started again, and no hold has told so yet.
             state.unsure = true;
         }
@@ -299,7 +299,7 @@
         for (id, worker) in self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.entry.draining && !worker.is_unshown())
+            .filter(|(_, worker)| worker.entry.draining && !worker.entry_incarnation_differs())
         {
             let standing = worker.runs.iter();
             let standing = standing.filter(|(_, run)| run.standing && !run.phase.is_stopping());
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -124,7 +124,7 @@
                 if !worker.listed && !unanswered && worker.is_silent(now) {
                     idle.push(id.clone());
                 }
-            } else if worker.is_silent(now) && worker.life.lease_is_over(now) {
+            } else if worker.is_silent(now) && worker.incarnation.lease_has_expired(now) {
                 over.push(id.clone());
             }
         }
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -10,7 +10,7 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::ids::RunKey;
-use crate::life::LifeState;
+use crate::incarnation::IncarnationState;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::HoldReport;
 use crate::run::{RunPhase, RunRecord};
@@ -18,25 +18,25 @@
 
 /// The deadline of a start that no incarnation of its worker has answered. The order's own deadline
 /// is on the clock of the previous incarnation, so the new one may carry the order out at any time.
-const NO_DEADLINE: u64 = u64::MAX;
+const NO_START_DEADLINE: u64 = u64::MAX;
 
 impl JobScheduler {
     /// Checks which incarnation of a worker sent a report. The first report that contains an
     /// incarnation sets it; a report of another one begins a new incarnation.
-    pub(crate) fn take_life(
+    pub(crate) fn update_incarnation(
         &mut self,
         now: Millis,
         worker: &WorkerId,
-        asked: Millis,
+        sent_at: Millis,
         report: &HoldReport,
     ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        if state.life.is_other(report.life) {
-            self.begin_life(now, worker, asked, report);
-        } else if state.life.name.is_none() && report.life.is_some() {
-            state.life.name = report.life;
+        if state.incarnation.is_other(report.life) {
+            self.begin_incarnation(now, worker, sent_at, report);
+        } else if state.incarnation.id.is_none() && report.life.is_some() {
+            state.incarnation.id = report.life;
             self.roster_changed |= self.roster.contains(worker);
         }
     }
@@ -47,23 +47,29 @@
     /// Runs that the report lists are running there. Runs that the previous incarnation confirmed,
     /// in a report or in an answer that came before the renewal of this report was sent, have ended
     /// with it. Any other run may be running in the new incarnation, or may yet be started there.
-    fn begin_life(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: &HoldReport) {
+    fn begin_incarnation(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sent_at: Millis,
+        report: &HoldReport,
+    ) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
         self.note(JobNote::AnotherLife {
             worker: worker.clone(),
-            before: state.life.name,
+            before: state.incarnation.id,
             life: report.life,
-            clock_before: state.life.read_clock(),
+            clock_before: state.incarnation.newest_clock(),
             clock: report.clock,
-            noted: state.life.noted,
+            noted: state.incarnation.noted,
             listed: report.ended.last().map_or(0, |end| end.number),
         });
         let listed = listed_runs(report);
-        let listed = self.take_runs(worker, |key, _| listed.contains(key));
+        let listed = self.remove_runs_where(worker, |key, _| listed.contains(key));
         let convicted = self.note_loss(now, worker, LossCause::Restarted);
-        let doubtful = self.take_runs(worker, |_, record| !record.would_be_listed(asked));
+        let doubtful = self.remove_runs_where(worker, |_, record| !record.would_be_listed(sent_at));
         self.lose_runs(now, worker, LossCause::Restarted);
         self.foreign.forget_work(worker);
         self.quarantine.forget(worker);
@@ -76,13 +82,13 @@
             // The deadline in an order that was meant for the previous incarnation is on the clock
             // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
-            let granted = longest.min(state.life.granted);
-            state.life = LifeState::new(report.life);
-            state.life.granted = if reached { granted } else { 0 };
+            let lease_deadline = longest.min(state.incarnation.lease_deadline);
+            state.incarnation = IncarnationState::new(report.life);
+            state.incarnation.lease_deadline = if reached { lease_deadline } else { 0 };
             state.paused_until = now;
         }
         for (key, record) in listed {
-            self.keep_run(now, worker, key, RunPhase::Unsettled, record);
+            self.carry_over_run(now, worker, key, RunPhase::Unsettled, record);
         }
         for (key, record) in doubtful {
             let phase = match (record.phase, record.answered_at) {
@@ -90,7 +96,7 @@
                 (RunPhase::Running(_), Some(answered)) => RunPhase::Elsewhere(answered),
                 _ => RunPhase::Unsettled,
             };
-            self.keep_run(now, worker, key, phase, record);
+            self.carry_over_run(now, worker, key, phase, record);
             if phase == RunPhase::Unsettled {
                 self.stop_run(now, worker, key, StopCause::Unsettled);
             }
@@ -102,7 +108,7 @@
     }
 
     /// Removes and returns the runs of a worker for which a condition holds.
-    fn take_runs(
+    fn remove_runs_where(
         &mut self,
         worker: &WorkerId,
         holds: impl Fn(&RunKey, &RunRecord) -> bool,
@@ -121,7 +127,7 @@
 
     /// Keeps a run for the new incarnation. If the run was being stopped, the stop order is sent
     /// again.
-    fn keep_run(
+    fn carry_over_run(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -135,7 +141,7 @@
             began: None,
             listed: false,
             answered_at: None,
-            start_deadline: NO_DEADLINE,
+            start_deadline: NO_START_DEADLINE,
             ..record
         };
         if let Some(state) = self.workers.get_mut(worker) {
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -85,10 +85,10 @@
 }
 
 impl RunRecord {
-    /// Whether a report of the current incarnation to a renewal sent at `asked` would list the run
+    /// Whether a report of the current incarnation to a renewal sent at `sent_at` would list the run
     /// if it were running there.
-    pub(crate) fn would_be_listed(&self, asked: Millis) -> bool {
-        self.listed || self.answered_at.is_some_and(|answered| asked >= answered)
+    pub(crate) fn would_be_listed(&self, sent_at: Millis) -> bool {
+        self.listed || self.answered_at.is_some_and(|answered| sent_at >= answered)
     }
 
     /// How long its job still needs from here on if the run is not slowed down any more, in
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -4,8 +4,8 @@
 
 use crate::events::WorkerCall;
 use crate::ids::{RunKey, TaskKey};
+use crate::incarnation::ClockSample;
 use crate::job::TaskStage;
-use crate::life::ClockSight;
 use crate::limits::STOP_RETRY_MS;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{EndReport, RunOutcome, WorkerClock};
@@ -388,11 +388,16 @@
 
     /// Records the clock in an answer to an order. Returns whether the current incarnation has
     /// answered.
-    pub(crate) fn take_sight(&mut self, now: Millis, worker: &WorkerId, sight: ClockSight) -> bool {
+    pub(crate) fn record_order_clock(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sample: ClockSample,
+    ) -> bool {
         let Some(state) = self.workers.get_mut(worker) else {
             return false;
         };
-        let known = state.take_sight(now, sight);
+        let known = state.record_order_clock(now, sample);
         if !known {
             self.hold_soon(now, worker);
         }
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -91,7 +91,7 @@
         &mut self,
         worker: &WorkerId,
         over_at: u64,
-        life: Option<WorkerLife>,
+        incarnation: Option<WorkerLife>,
         suspects: Vec<CrashSuspect>,
     ) {
         self.fading.remove(worker);
@@ -100,8 +100,8 @@
             return;
         }
         self.asked.suspects.insert(worker.clone(), suspects);
-        if let Some(life) = life {
-            self.asked.lives.insert(worker.clone(), life);
+        if let Some(incarnation) = incarnation {
+            self.asked.lives.insert(worker.clone(), incarnation);
         }
     }
 
@@ -142,17 +142,17 @@
     pub(crate) fn changed_marks(&mut self, now: Millis, commit: u64) -> Option<SilentWorkers> {
         let mut changed = self.marks.take_away_unknown(&self.workers, commit);
         for id in self.unmarked_silent(now) {
-            let over_at = self.lease_over_at(now, &id);
+            let over_at = self.lease_expires_at(now, &id);
             if let Some(over_at) = self.store_clock.at_most(over_at) {
                 let state = self.workers.get(&id);
-                let life = state.and_then(|state| state.life.name);
+                let incarnation = state.and_then(|state| state.incarnation.id);
                 let suspects = state.map_or_else(Vec::new, |state| self.crash_suspects(state));
-                self.marks.set(&id, over_at, life, suspects);
+                self.marks.set(&id, over_at, incarnation, suspects);
                 changed = true;
                 self.show_mark(&id);
             }
         }
-        let answers = |worker: &WorkerState| worker.life.fenced && worker.failed_holds == 0;
+        let answers = |worker: &WorkerState| worker.incarnation.fenced && worker.failed_holds == 0;
         let back = self.workers.iter();
         let back = back.filter(|(_, worker)| worker.mark == LeaseMark::Marked && answers(worker));
         let back: Vec<WorkerId> = back.map(|(id, _)| id.clone()).collect();
@@ -179,9 +179,9 @@
     }
 
     /// The time from which nothing that was leased to a worker can be running there.
-    fn lease_over_at(&self, now: Millis, worker: &WorkerId) -> Millis {
+    fn lease_expires_at(&self, now: Millis, worker: &WorkerId) -> Millis {
         let known = self.workers.get(worker);
-        let own = known.and_then(|worker| worker.life.lease_over_at());
+        let own = known.and_then(|worker| worker.incarnation.lease_expires_at());
         let recovery = self.recovery.as_ref();
         let inherited = recovery.map(|recovery| recovery.over_at(worker));
         own.or(inherited).unwrap_or(now)
@@ -202,7 +202,7 @@
         for (id, suspects) in &marks.suspects {
             if let Some(state) = self.workers.get_mut(id) {
                 state.suspects.clone_from(suspects);
-                state.life.name = marks.lives.get(id).copied().or(state.life.name);
+                state.incarnation.id = marks.lives.get(id).copied().or(state.incarnation.id);
             }
         }
         self.marks.asked = marks;
--- a/crates/jobs/src/start.rs
+++ b/crates/jobs/src/start.rs
@@ -77,8 +77,8 @@
             return;
         };
         let image = self.images.get(&step.image);
-        let deadline = state.life.clock(now).unwrap_or(0) + START_VALID_MS;
-        state.life.granted = state.life.granted.max(deadline);
+        let deadline = state.incarnation.clock(now).unwrap_or(0) + START_VALID_MS;
+        state.incarnation.lease_deadline = state.incarnation.lease_deadline.max(deadline);
         let free_cpu = state.free().cpu_millis;
         let mut record = RunRecord::new(&step, image, RunPhase::Ordered, deadline);
         record.due = due;
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -8,7 +8,7 @@
 use crate::crash::CrashSuspect;
 use crate::fill::FillBoard;
 use crate::ids::RunKey;
-use crate::life::{ClockSight, LifeState};
+use crate::incarnation::{ClockSample, IncarnationState};
 use crate::limits::{
     ACKNOWLEDGED_WITHIN_MS, ANSWER_SOON_MS, SILENT_AFTER_MS, START_ANSWER_MS, SUSPECT_AFTER_HOLDS,
 };
@@ -43,7 +43,7 @@
     /// Whether operators have evacuated its hall.
     pub(crate) evacuated: bool,
     /// The state of its current incarnation.
-    pub(crate) life: LifeState,
+    pub(crate) incarnation: IncarnationState,
     pub(crate) hold_sent: Option<Millis>,
     /// How long the worker may wait before it answers the renewal in flight, in milliseconds.
     pub(crate) hold_wait: Millis,
@@ -89,7 +89,7 @@
             missing: false,
             unreadable: false,
             evacuated: false,
-            life: LifeState::default(),
+            incarnation: IncarnationState::default(),
             hold_sent: None,
             hold_wait: 0,
             hold_seen: 0,
@@ -125,20 +125,20 @@
     }
 
     /// Records an answer of the current incarnation.
-    pub(crate) fn note_answer(&mut self, now: Millis, sight: ClockSight) {
+    pub(crate) fn note_answer(&mut self, now: Millis, sample: ClockSample) {
         self.last_answer = now;
         self.told_silent = false;
         self.unsure = false;
         self.failed_holds = 0;
-        self.life.note_clock(now, sight);
+        self.incarnation.note_clock(now, sample);
     }
 
     /// Records the clock in an answer to an order. Returns whether the current incarnation
     /// answered. If not, a renewal has to find out which one did.
-    pub(crate) fn take_sight(&mut self, now: Millis, sight: ClockSight) -> bool {
-        let known = self.life.answered(now, sight);
+    pub(crate) fn record_order_clock(&mut self, now: Millis, sample: ClockSample) -> bool {
+        let known = self.incarnation.has_answered(now, sample);
         match known {
-            true => self.note_answer(now, sight),
+            true => self.note_answer(now, sample),
             false => self.unsure = true,
         }
         known
@@ -147,7 +147,7 @@
     /// How long after the start of a run the worker was last heard from, on the worker's clock;
     /// `None` if no answer said that the run began.
     pub(crate) fn heard_after(&self, record: &RunRecord) -> Option<Millis> {
-        let heard = self.life.read_clock()?;
+        let heard = self.incarnation.newest_clock()?;
         Some(heard.saturating_sub(record.began?))
     }
 
@@ -187,7 +187,7 @@
 
     /// Whether there are durable ends that were not acknowledged yet.
     pub(crate) fn owes_acknowledgement(&self) -> bool {
-        self.life.durable > self.life.acknowledged
+        self.incarnation.durable > self.incarnation.acknowledged
     }
 
     /// Whether there are ends to acknowledge that may not be acknowledged yet.
@@ -219,29 +219,34 @@
     /// exists the lease can't be extended.
     pub(crate) fn is_suspect(&self, now: Millis) -> bool {
         let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
-        self.failed_holds >= SUSPECT_AFTER_HOLDS || !self.life.fenced && late
+        self.failed_holds >= SUSPECT_AFTER_HOLDS || !self.incarnation.fenced && late
     }
 
     /// Whether its list entry is of another incarnation than the current one. That incarnation may
     /// have another kind or capacity, or may be about to leave.
-    pub(crate) fn is_unshown(&self) -> bool {
-        self.life.is_other(self.entry.life)
+    pub(crate) fn entry_incarnation_differs(&self) -> bool {
+        self.incarnation.is_other(self.entry.life)
     }
 
     /// Whether it may be given tasks, which extends its lease. A worker that answers exists, even
     /// if a worker list omits it because of problems with the store.
     pub(crate) fn is_open(&self, now: Millis) -> bool {
-        let leaves = self.entry.draining || self.missing || self.is_unshown();
+        let leaves = self.entry.draining || self.missing || self.entry_incarnation_differs();
         let leaves = leaves || self.evacuated;
         let prolongs = self.mark == LeaseMark::None;
-        self.life.fenced && prolongs && !leaves && now >= self.paused_until && !self.is_silent(now)
+        self.incarnation.fenced
+            && prolongs
+            && !leaves
+            && now >= self.paused_until
+            && !self.is_silent(now)
     }
 
     /// Whether tasks may be running here that only the worker's own answers reveal. A draining
     /// worker whose runs have all ended gets no new ones, so that nobody has to wait for its
     /// answer.
     pub(crate) fn may_hold_tasks(&self) -> bool {
-        let emptied = self.life.fenced && self.runs.is_empty() && !self.life.has_unwritten();
+        let emptied =
+            self.incarnation.fenced && self.runs.is_empty() && !self.incarnation.has_unwritten();
         !(self.entry.draining && emptied)
     }
 
