--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -151,6 +151,6 @@
                 *answered = Some(clock);
             }
         }
-        self.hold_soon(now, worker);
+        self.renew_soon(now, worker);
     }
 }
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -143,7 +143,7 @@
             if let Some(state) = self.workers.get_mut(&ends.worker) {
                 state.incarnation.durable = ends.newest;
             }
-            self.hold_at(&ends.worker, now + gap);
+            self.schedule_renewal(&ends.worker, now + gap);
         }
     }
 
@@ -164,7 +164,7 @@
             };
             state.incarnation.durable = state.incarnation.durable.max(ends.newest);
             if !state.incarnation.has_unwritten() {
-                self.hold_at(&ends.worker, now + gap);
+                self.schedule_renewal(&ends.worker, now + gap);
             }
         }
     }
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/noted.rs
@@ -95,7 +95,8 @@
     /// as well, so no task can be called the only cause.
     fn goes_with_others(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
-            let silent = other.failed_holds > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
+            let silent =
+                other.failed_renewals > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
             silent && *id != worker && self.is_unexplained(other)
         });
         let unexplained = self.crashes.unexplained_near(heard_at) + failing.count();
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -63,7 +63,9 @@
         self.note_awaited_crashes(now, number);
         for (worker, sight) in self.foreign.take(number) {
             match sight {
-                ForeignSight::AtWork(clock, run) => self.take_running(now, &worker, clock, run),
+                ForeignSight::AtWork(clock, run) => {
+                    self.handle_running_report(now, &worker, clock, run)
+                }
                 ForeignSight::Ended(end) => self.take_end(now, &worker, end),
             }
         }
@@ -182,7 +184,7 @@
         state.incarnation = IncarnationState::new(life);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
-        self.hold_at(&worker, now);
+        self.schedule_renewal(&worker, now);
         self.roster.insert(worker.clone());
         if let Some(recovery) = &mut self.recovery {
             recovery.unanswered.insert(worker, recovery.until);
@@ -267,7 +269,7 @@
         if !known {
             self.roster_changed |= self.roster.insert(id.clone());
             self.worker_order = None;
-            self.hold_queue.insert((now, id.clone()));
+            self.renewal_queue.insert((now, id.clone()));
         }
         if !known
             && self
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -117,7 +117,7 @@
             let unanswered = self.recovery.as_ref();
             let unanswered =
                 unanswered.is_some_and(|recovery| recovery.unanswered.contains_key(id));
-            if worker.is_silent(now) && !worker.told_silent {
+            if worker.is_silent(now) && !worker.silence_logged {
                 silent.push(id.clone());
             }
             if worker.runs.is_empty() {
@@ -130,7 +130,7 @@
         }
         for id in silent {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.told_silent = true;
+                worker.silence_logged = true;
             }
             self.note(JobNote::WorkerSilent(id));
         }
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/renewals.rs
@@ -24,29 +24,29 @@
 
 impl JobScheduler {
     /// Sends the renewals that are due.
-    pub(crate) fn send_holds(&mut self, now: Millis) {
+    pub(crate) fn send_renewals(&mut self, now: Millis) {
         let lease = (!self.may_be_followed(now)).then(|| self.granted_lease_ms());
         let mut due = Vec::new();
-        while self.hold_queue.first().is_some_and(|(at, _)| *at <= now) {
-            due.extend(self.hold_queue.pop_first().map(|(_, id)| id));
+        while self.renewal_queue.first().is_some_and(|(at, _)| *at <= now) {
+            due.extend(self.renewal_queue.pop_first().map(|(_, id)| id));
         }
         due.sort_unstable();
         for id in due {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
             };
-            if worker.hold_sent.is_some() || now < worker.hold_due {
+            if worker.renewal_sent_at.is_some() || now < worker.renewal_due_at {
                 continue;
             }
             if worker.awaits_start(now) && worker.withholds_ends(now) {
-                self.hold_at(&id, now + TICK_MS);
+                self.schedule_renewal(&id, now + TICK_MS);
                 continue;
             }
-            let call = next_hold(worker, now, lease, &self.strain);
-            worker.hold_sent = Some(now);
-            worker.hold_wait = call.wait_ms;
-            worker.hold_seen = call.last_seen;
-            worker.hold_prolongs = call.deadline.is_some();
+            let call = next_renewal(worker, now, lease, &self.strain);
+            worker.renewal_sent_at = Some(now);
+            worker.renewal_wait_ms = call.wait_ms;
+            worker.renewal_acknowledges = call.last_seen;
+            worker.renewal_extends_lease = call.deadline.is_some();
             if let Some(deadline) = call.deadline {
                 worker.incarnation.lease_deadline = worker.incarnation.lease_deadline.max(deadline);
             }
@@ -55,52 +55,58 @@
     }
 
     /// Schedules a renewal of a worker for the next tick.
-    pub(crate) fn hold_soon(&mut self, now: Millis, worker: &WorkerId) {
+    pub(crate) fn renew_soon(&mut self, now: Millis, worker: &WorkerId) {
         if let Some(state) = self.workers.get(worker) {
-            self.hold_at(worker, state.hold_due.min(now));
+            self.schedule_renewal(worker, state.renewal_due_at.min(now));
         }
     }
 
     /// Schedules the next renewal of a worker.
-    pub(crate) fn hold_at(&mut self, worker: &WorkerId, at: Millis) {
+    pub(crate) fn schedule_renewal(&mut self, worker: &WorkerId, at: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
-            self.hold_queue.remove(&(state.hold_due, worker.clone()));
-            state.hold_due = at;
-            self.hold_queue.insert((at, worker.clone()));
+            self.renewal_queue
+                .remove(&(state.renewal_due_at, worker.clone()));
+            state.renewal_due_at = at;
+            self.renewal_queue.insert((at, worker.clone()));
         }
     }
 
     /// Handles the answer to a renewal.
-    pub(crate) fn take_hold(&mut self, now: Millis, worker: &WorkerId, answer: HoldAnswer) {
+    pub(crate) fn handle_renewal_answer(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        answer: HoldAnswer,
+    ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        let sent = state.hold_sent.take();
+        let sent = state.renewal_sent_at.take();
         let waited = now.saturating_sub(sent.unwrap_or(now));
         match &answer {
             // An end makes the worker answer before its wait is over. Such an answer doesn't show
             // how late it came.
-            HoldAnswer::Report(_) if waited < state.hold_wait => {}
+            HoldAnswer::Report(_) if waited < state.renewal_wait_ms => {}
             HoldAnswer::Report(report) => {
                 // The delay at the host that relayed the call is not caused by this owner.
-                let late = waited - state.hold_wait;
+                let late = waited - state.renewal_wait_ms;
                 let own = late.saturating_sub(report.carrier_late_ms);
                 self.strain.note_answer(own);
             }
-            HoldAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
+            HoldAnswer::Failed(OrderAnswer::Unknown) if !state.silence_logged => {
                 self.strain.note_failure();
             }
             HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
         }
         match answer {
             HoldAnswer::Report(report) => {
-                self.take_report(now, worker, sent.unwrap_or(now), report);
+                self.handle_report(now, worker, sent.unwrap_or(now), report);
             }
             HoldAnswer::Fenced => self.deposed = true,
             HoldAnswer::Failed(answer) => {
                 state.unsure = true;
-                state.failed_holds += 1;
-                self.hold_at(worker, now + HOLD_RETRY_MS);
+                state.failed_renewals += 1;
+                self.schedule_renewal(worker, now + HOLD_RETRY_MS);
                 match answer {
                     OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
                     OrderAnswer::Unreachable => {
@@ -114,12 +120,21 @@
     }
 
     /// Handles a worker's report; the renewal that it answers was sent at `sent_at`.
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, sent_at: Millis, report: HoldReport) {
+    fn handle_report(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sent_at: Millis,
+        report: HoldReport,
+    ) {
         self.update_incarnation(now, worker, sent_at, &report);
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        state.incarnation.acknowledged = state.incarnation.acknowledged.max(state.hold_seen);
+        state.incarnation.acknowledged = state
+            .incarnation
+            .acknowledged
+            .max(state.renewal_acknowledges);
         let sample = ClockSample {
             clock: report.clock,
             sent_at,
@@ -147,7 +162,7 @@
         for end in report.ended {
             ended.insert(end.key);
             if end.number <= newest {
-                self.note_passed_over(worker, &end, newest);
+                self.log_passed_over_end(worker, &end, newest);
                 continue;
             }
             if self.is_foreign(now, &end.key) {
@@ -173,13 +188,13 @@
                 self.foreign.note_run(worker, report.clock, run);
                 continue;
             }
-            self.take_running(now, worker, report.clock, run);
+            self.handle_running_report(now, worker, report.clock, run);
         }
         let sample = ClockSample {
             clock: report.clock,
             sent_at,
         };
-        self.drop_missing(now, worker, sample, &listed);
+        self.drop_unlisted(now, worker, sample, &listed);
         if first {
             self.note_answered(worker);
             self.check_recovery(now);
@@ -187,11 +202,11 @@
         }
         self.learn_readings(now, worker);
         self.guard_worker(now, worker);
-        self.plan_hold(now, worker);
+        self.schedule_next_renewal(now, worker);
     }
 
     /// Logs an end that is ignored for its number although its run has no end yet.
-    fn note_passed_over(&mut self, worker: &WorkerId, end: &EndReport, noted: u64) {
+    fn log_passed_over_end(&mut self, worker: &WorkerId, end: &EndReport, noted: u64) {
         let state = self.workers.get(worker);
         if state.is_some_and(|state| state.runs.contains_key(&end.key)) {
             self.note(JobNote::EndPassedOver {
@@ -204,7 +219,7 @@
     }
 
     /// Schedules the next renewal: at once, unless listed ends can't be acknowledged yet.
-    fn plan_hold(&mut self, now: Millis, worker: &WorkerId) {
+    fn schedule_next_renewal(&mut self, now: Millis, worker: &WorkerId) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
@@ -212,7 +227,7 @@
             LeaseMark::None => self.strain.hold_gap_ms(),
             LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
         };
-        state.hold_gap = gap;
+        state.renewal_gap_ms = gap;
         let pause = if state.incarnation.has_unwritten() {
             UNACKNOWLEDGED_HOLD_MS.max(gap)
         } else if state.withholds_ends(now) {
@@ -221,10 +236,10 @@
         } else {
             gap
         };
-        self.hold_at(worker, now + pause);
+        self.schedule_renewal(worker, now + pause);
     }
 
-    pub(crate) fn take_running(
+    pub(crate) fn handle_running_report(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -252,7 +267,7 @@
             return;
         }
         let adopted = self.may_adopt(&key) && !self.has_ended(&key);
-        let record = self.record_of(&key, run, clock);
+        let record = self.record_from_report(&key, run, clock);
         if adopted {
             self.adopt(worker, &key);
         }
@@ -298,7 +313,7 @@
         self.note_begun(&key.task);
     }
 
-    fn record_of(&self, key: &RunKey, run: RunReport, clock: u64) -> RunRecord {
+    fn record_from_report(&self, key: &RunKey, run: RunReport, clock: u64) -> RunRecord {
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step_spec(&key.task));
         let room = step.map(StepSpec::room);
@@ -325,7 +340,7 @@
     }
 
     /// Gives up runs that the worker would have listed if it had them.
-    fn drop_missing(
+    fn drop_unlisted(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -357,7 +372,7 @@
 
 /// Builds a worker's next renewal with the lease to grant, if any. The call waits for an end unless
 /// there are ends to acknowledge.
-fn next_hold(
+fn next_renewal(
     worker: &WorkerState,
     now: Millis,
     lease: Option<Millis>,
@@ -369,7 +384,7 @@
         matches!(record.phase, RunPhase::Stopping { answered, .. } if answered.is_some())
             || record.phase == RunPhase::Unsettled
     });
-    let at_once = !worker.incarnation.fenced || !worker.may_prolong();
+    let at_once = !worker.incarnation.fenced || !worker.may_extend_lease();
     let wait_ms = if worker.incarnation.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
@@ -380,7 +395,7 @@
     let clock = worker
         .incarnation
         .clock(now)
-        .filter(|_| worker.may_prolong());
+        .filter(|_| worker.may_extend_lease());
     HoldCall {
         deadline: clock.zip(lease).map(|(clock, lease)| clock + lease),
         last_seen: match worker.owes_acknowledgement() && worker.may_acknowledge(now) {
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -78,7 +78,7 @@
             recovery.lost_some |= recovery.unanswered.contains_key(worker);
         }
         if let Some(state) = self.workers.get_mut(worker) {
-            let reached = state.hold_prolongs || !listed.is_empty() || !doubtful.is_empty();
+            let reached = state.renewal_extends_lease || !listed.is_empty() || !doubtful.is_empty();
             // The deadline in an order that was meant for the previous incarnation is on the clock
             // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
@@ -111,13 +111,13 @@
     fn remove_runs_where(
         &mut self,
         worker: &WorkerId,
-        holds: impl Fn(&RunKey, &RunRecord) -> bool,
+        condition: impl Fn(&RunKey, &RunRecord) -> bool,
     ) -> Vec<(RunKey, RunRecord)> {
         let Some(state) = self.workers.get_mut(worker) else {
             return Vec::new();
         };
         let runs = state.runs.iter();
-        let runs = runs.filter(|(key, record)| holds(key, record));
+        let runs = runs.filter(|(key, record)| condition(key, record));
         let keys: Vec<RunKey> = runs.map(|(key, _)| *key).collect();
         let taken = keys.into_iter();
         taken
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -99,7 +99,7 @@
     /// The workers in their order, until one comes or goes.
     pub(crate) worker_order: Option<Arc<[WorkerId]>>,
     /// When the next hold of each worker is due; entries of workers that are held or gone by then are passed over.
-    pub(crate) hold_queue: BTreeSet<(Millis, WorkerId)>,
+    pub(crate) renewal_queue: BTreeSet<(Millis, WorkerId)>,
     /// Whether ends were taken in that no write was asked for yet.
     pub(crate) unacknowledged: bool,
     /// How long the leases are at most that workers hold, as a successor is told.
@@ -180,7 +180,7 @@
             roster_looked: 0,
             stop_queue: VecDeque::new(),
             worker_order: None,
-            hold_queue: BTreeSet::new(),
+            renewal_queue: BTreeSet::new(),
             unacknowledged: false,
             // Until nothing of an earlier owner's can be at work, workers may hold its leases, also those that have answered: a
             // lease never becomes shorter.
@@ -266,7 +266,7 @@
             return vec![JobAction::Deposed];
         }
         self.place_waiting(now);
-        self.send_holds(now);
+        self.send_renewals(now);
         self.begin_commit(now);
         std::mem::take(&mut self.out)
     }
@@ -298,7 +298,9 @@
             JobEvent::PaceAnswered(worker, key, answer) => {
                 self.take_pace_answer(now, &worker, key, answer);
             }
-            JobEvent::HoldAnswered(worker, answer) => self.take_hold(now, &worker, answer),
+            JobEvent::HoldAnswered(worker, answer) => {
+                self.handle_renewal_answer(now, &worker, answer)
+            }
             JobEvent::Committed(id) => self.take_commit(now, id),
             JobEvent::SureUntil(until) => self.take_tenure(now, until),
             JobEvent::Tick { wall_ms } => self.tick(now, wall_ms),
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -399,7 +399,7 @@
         };
         let known = state.record_order_clock(now, sample);
         if !known {
-            self.hold_soon(now, worker);
+            self.renew_soon(now, worker);
         }
         known
     }
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -152,7 +152,8 @@
                 self.show_mark(&id);
             }
         }
-        let answers = |worker: &WorkerState| worker.incarnation.fenced && worker.failed_holds == 0;
+        let answers =
+            |worker: &WorkerState| worker.incarnation.fenced && worker.failed_renewals == 0;
         let back = self.workers.iter();
         let back = back.filter(|(_, worker)| worker.mark == LeaseMark::Marked && answers(worker));
         let back: Vec<WorkerId> = back.map(|(id, _)| id.clone()).collect();
@@ -220,7 +221,7 @@
     pub(crate) fn note_marks_gone(&mut self, now: Millis, commit: u64) {
         for id in self.marks.note_committed(commit) {
             self.show_mark(&id);
-            self.hold_soon(now, &id);
+            self.renew_soon(now, &id);
         }
     }
 }
--- a/crates/jobs/src/tenure.rs
+++ b/crates/jobs/src/tenure.rs
@@ -85,7 +85,7 @@
                 self.room_changed = true;
                 let workers: Vec<_> = self.workers.keys().cloned().collect();
                 for worker in workers {
-                    self.hold_soon(now, &worker);
+                    self.renew_soon(now, &worker);
                 }
                 self.note(JobNote::SureAgain {
                     lasted_ms: now.saturating_sub(since),
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -44,23 +44,23 @@
     pub(crate) evacuated: bool,
     /// The state of its current incarnation.
     pub(crate) incarnation: IncarnationState,
-    pub(crate) hold_sent: Option<Millis>,
+    pub(crate) renewal_sent_at: Option<Millis>,
     /// How long the worker may wait before it answers the renewal in flight, in milliseconds.
-    pub(crate) hold_wait: Millis,
+    pub(crate) renewal_wait_ms: Millis,
     /// The number of the newest end that the renewal in flight acknowledges; 0 for none.
-    pub(crate) hold_seen: u64,
+    pub(crate) renewal_acknowledges: u64,
     /// Whether the renewal in flight extends the lease.
-    pub(crate) hold_prolongs: bool,
-    pub(crate) hold_due: Millis,
+    pub(crate) renewal_extends_lease: bool,
+    pub(crate) renewal_due_at: Millis,
     /// The pause between an answer and the next renewal, in milliseconds.
-    pub(crate) hold_gap: Millis,
+    pub(crate) renewal_gap_ms: Millis,
     pub(crate) last_answer: Millis,
-    pub(crate) told_silent: bool,
+    pub(crate) silence_logged: bool,
     /// Whether the newest renewal got no answer, or an unknown incarnation has answered an order.
     /// Until a renewal is answered nothing extends the lease, so that it expires.
     pub(crate) unsure: bool,
     /// How many consecutive renewals got no answer.
-    pub(crate) failed_holds: u32,
+    pub(crate) failed_renewals: u32,
     /// Whether a successor could read a silence record of this worker.
     pub(crate) mark: LeaseMark,
     /// The worker gets no new tasks before this time.
@@ -90,16 +90,16 @@
             unreadable: false,
             evacuated: false,
             incarnation: IncarnationState::default(),
-            hold_sent: None,
-            hold_wait: 0,
-            hold_seen: 0,
-            hold_prolongs: false,
-            hold_due: now,
-            hold_gap: 0,
+            renewal_sent_at: None,
+            renewal_wait_ms: 0,
+            renewal_acknowledges: 0,
+            renewal_extends_lease: false,
+            renewal_due_at: now,
+            renewal_gap_ms: 0,
             last_answer: now,
-            told_silent: false,
+            silence_logged: false,
             unsure: false,
-            failed_holds: 0,
+            failed_renewals: 0,
             mark,
             paused_until: 0,
             runs: BTreeMap::new(),
@@ -127,9 +127,9 @@
     /// Records an answer of the current incarnation.
     pub(crate) fn note_answer(&mut self, now: Millis, sample: ClockSample) {
         self.last_answer = now;
-        self.told_silent = false;
+        self.silence_logged = false;
         self.unsure = false;
-        self.failed_holds = 0;
+        self.failed_renewals = 0;
         self.incarnation.note_clock(now, sample);
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Whether its lease may be extended.
-    pub(crate) fn may_prolong(&self) -> bool {
+    pub(crate) fn may_extend_lease(&self) -> bool {
         self.mark == LeaseMark::None && !self.unsure
     }
 
@@ -205,13 +205,13 @@
 
     /// Whether the worker has not answered for longer than expected.
     pub(crate) fn is_silent(&self, now: Millis) -> bool {
-        let waits = if self.hold_sent.is_some() {
-            self.hold_wait
+        let wait_ms = if self.renewal_sent_at.is_some() {
+            self.renewal_wait_ms
         } else {
             0
         };
-        let quiet = SILENT_AFTER_MS + self.hold_gap + waits;
-        self.told_silent || now.saturating_sub(self.last_answer) > quiet
+        let limit_ms = SILENT_AFTER_MS + self.renewal_gap_ms + wait_ms;
+        self.silence_logged || now.saturating_sub(self.last_answer) > limit_ms
     }
 
     /// Whether the worker should get a silence record: two consecutive renewals got no answer, or
@@ -219,7 +219,7 @@
     /// exists the lease can't be extended.
     pub(crate) fn is_suspect(&self, now: Millis) -> bool {
         let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
-        self.failed_holds >= SUSPECT_AFTER_HOLDS || !self.incarnation.fenced && late
+        self.failed_renewals >= SUSPECT_AFTER_HOLDS || !self.incarnation.fenced && late
     }
 
     /// Whether its list entry is of another incarnation than the current one. That incarnation may
@@ -233,9 +233,9 @@
     pub(crate) fn is_open(&self, now: Millis) -> bool {
         let leaves = self.entry.draining || self.missing || self.entry_incarnation_differs();
         let leaves = leaves || self.evacuated;
-        let prolongs = self.mark == LeaseMark::None;
+        let extendable = self.mark == LeaseMark::None;
         self.incarnation.fenced
-            && prolongs
+            && extendable
             && !leaves
             && now >= self.paused_until
             && !self.is_silent(now)
