--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -32,7 +32,7 @@
         // Everything that is taken from here on must be written: it can't be put back.
         let pending = self.changed_pending(now);
         let forget = self.outdated_jobs(now);
-        let silent = self.changed_marks(now, self.commit_count + 1);
+        let silent = self.update_silence_records(now, self.commit_count + 1);
         let wanted = !self.dirty.is_empty()
             || silent.is_some()
             || self.roster_changed
@@ -152,7 +152,7 @@
         let Some(commit) = self.commit.take_if(|commit| commit.id == id) else {
             return;
         };
-        self.note_marks_gone(now, id);
+        self.note_records_removed(now, id);
         self.lease_published |= commit.roster;
         self.release_noted(now, commit.crashed);
         let gap = self.strain.hold_gap_ms();
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -179,8 +179,8 @@
             capacity: ResourceSize::default(),
             draining: false,
         };
-        let mark = self.marks.of(&worker);
-        let mut state = WorkerState::new(entry, now, mark);
+        let silence_record = self.silence_records.state_of(&worker);
+        let mut state = WorkerState::new(entry, now, silence_record);
         state.incarnation = IncarnationState::new(life);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
@@ -252,11 +252,11 @@
             self.lose_worker(now, &worker, LossCause::Replaced);
         }
         let draining = entry.draining;
-        let mark = self.marks.of(&id);
+        let silence_record = self.silence_records.state_of(&id);
         let state = self
             .workers
             .entry(id.clone())
-            .or_insert_with(|| WorkerState::new(entry.clone(), now, mark));
+            .or_insert_with(|| WorkerState::new(entry.clone(), now, silence_record));
         state.listed = true;
         state.missing = false;
         state.evacuated = self.evacuated.contains(&entry.hall);
--- a/crates/jobs/src/renewals.rs
+++ b/crates/jobs/src/renewals.rs
@@ -20,7 +20,7 @@
 use crate::scheduler::JobScheduler;
 use crate::spec::StepSpec;
 use crate::strain::WorkStrain;
-use crate::worker::{LeaseMark, WorkerState};
+use crate::worker::{SilenceRecord, WorkerState};
 
 impl JobScheduler {
     /// Sends the renewals that are due.
@@ -223,9 +223,9 @@
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        let gap = match state.mark {
-            LeaseMark::None => self.strain.hold_gap_ms(),
-            LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
+        let gap = match state.silence_record {
+            SilenceRecord::None => self.strain.hold_gap_ms(),
+            SilenceRecord::Written | SilenceRecord::Removed(_) => MARKED_HOLD_MS,
         };
         state.renewal_gap_ms = gap;
         let pause = if state.incarnation.has_unwritten() {
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -22,7 +22,7 @@
 use crate::progress::ProgressRow;
 use crate::rank::VainTries;
 use crate::rooms::EndedRooms;
-use crate::silent::{MarkBook, StoreClock};
+use crate::silent::{SilenceRecords, StoreClock};
 use crate::spec::{JobSpec, QueueRules};
 use crate::strain::WorkStrain;
 use crate::swing::LoadBook;
@@ -111,7 +111,7 @@
     /// Whether a successor is told of leases as long as this owner's; before that none is longer than an earlier owner's.
     pub(crate) lease_published: bool,
     pub(crate) store_clock: StoreClock,
-    pub(crate) marks: MarkBook,
+    pub(crate) silence_records: SilenceRecords,
     pub(crate) recovery: Option<Recovery>,
     pub(crate) began_at: Millis,
     pub(crate) foreign: ForeignRuns,
@@ -189,7 +189,7 @@
             inherited_until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
             lease_published: info.epoch == FIRST_EPOCH || inherited_lease_ms >= own_lease_ms,
             store_clock: StoreClock::default(),
-            marks: MarkBook::default(),
+            silence_records: SilenceRecords::default(),
             began_at: info.claimed_at,
             foreign: ForeignRuns::default(),
             ended_rooms: EndedRooms::default(),
@@ -228,7 +228,7 @@
             scheduler.expect_worker(info.claimed_at, worker, address, life);
         }
         if info.rules_since > 0 && info.silent.epoch >= info.rules_since {
-            scheduler.take_over_marks(info.claimed_at, info.store_ms, info.silent);
+            scheduler.inherit_silence_records(info.claimed_at, info.store_ms, info.silent);
         }
         // The row that is found speaks for its own writer.
         scheduler.roster_changed = true;
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -15,14 +15,14 @@
 use crate::crash::CrashSuspect;
 use crate::ids::WorkerLife;
 use crate::scheduler::JobScheduler;
-use crate::worker::{LeaseMark, WorkerState};
+use crate::worker::{SilenceRecord, WorkerState};
 
 /// Unresponsive workers get a silence record before they count as silent if at most one worker in
 /// this many is unresponsive. Where many answer late, the network to them is at fault, and the
 /// records would grow large.
-const FEW_OF: usize = 10;
+const WORKERS_PER_UNRESPONSIVE: usize = 10;
 /// Up to this number of unresponsive workers get a silence record early in a fleet of any size.
-const FEW_SUSPECTS: usize = 3;
+const FEW_UNRESPONSIVE: usize = 3;
 
 /// The times from which nothing that was leased to a silent worker is running there, on the store's
 /// clock in milliseconds.
@@ -47,20 +47,20 @@
 pub(crate) struct StoreClock {
     /// An upper bound of its lead over the scheduler's clock, in milliseconds; `None` before the
     /// first answer.
-    ahead: Option<i64>,
+    lead_ms: Option<i64>,
 }
 
 impl StoreClock {
     /// Records that the store's clock showed `at_most_ms` at most at the scheduler's time `at`.
     /// Both clocks run at the same rate, so the lowest bound stays valid.
     pub(crate) fn note(&mut self, at: Millis, at_most_ms: u64) {
-        let ahead = at_most_ms as i64 - at as i64;
-        self.ahead = Some(self.ahead.map_or(ahead, |known| known.min(ahead)));
+        let lead_ms = at_most_ms as i64 - at as i64;
+        self.lead_ms = Some(self.lead_ms.map_or(lead_ms, |known| known.min(lead_ms)));
     }
 
     /// The highest value that the store's clock can show at a time of the scheduler's clock.
-    fn at_most(&self, at: Millis) -> Option<u64> {
-        let shown = at as i64 + self.ahead?;
+    fn max_clock_at(&self, at: Millis) -> Option<u64> {
+        let shown = at as i64 + self.lead_ms?;
         u64::try_from(shown).ok()
     }
 }
@@ -70,20 +70,20 @@
 /// They are kept apart from the state of the workers: a worker that lists omit for a while is
 /// forgotten, and may come back while its record can still be read.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct MarkBook {
+pub(crate) struct SilenceRecords {
     /// The records as the last commit request contained them.
-    asked: SilentWorkers,
+    requested: SilentWorkers,
     /// Records that the commit with this number removes.
-    fading: BTreeMap<WorkerId, u64>,
+    being_removed: BTreeMap<WorkerId, u64>,
 }
 
-impl MarkBook {
+impl SilenceRecords {
     /// Whether a successor could read a silence record of a worker.
-    pub(crate) fn of(&self, worker: &WorkerId) -> LeaseMark {
-        match self.fading.get(worker) {
-            _ if self.asked.over_at.contains_key(worker) => LeaseMark::Marked,
-            Some(commit) => LeaseMark::Removed(*commit),
-            None => LeaseMark::None,
+    pub(crate) fn state_of(&self, worker: &WorkerId) -> SilenceRecord {
+        match self.being_removed.get(worker) {
+            _ if self.requested.over_at.contains_key(worker) => SilenceRecord::Written,
+            Some(commit) => SilenceRecord::Removed(*commit),
+            None => SilenceRecord::None,
         }
     }
 
@@ -94,89 +94,103 @@
         incarnation: Option<WorkerLife>,
         suspects: Vec<CrashSuspect>,
     ) {
-        self.fading.remove(worker);
-        self.asked.over_at.insert(worker.clone(), over_at);
+        self.being_removed.remove(worker);
+        self.requested.over_at.insert(worker.clone(), over_at);
         if suspects.is_empty() {
             return;
         }
-        self.asked.suspects.insert(worker.clone(), suspects);
+        self.requested.suspects.insert(worker.clone(), suspects);
         if let Some(incarnation) = incarnation {
-            self.asked.lives.insert(worker.clone(), incarnation);
+            self.requested.lives.insert(worker.clone(), incarnation);
         }
     }
 
-    fn take_away(&mut self, worker: &WorkerId, commit: u64) {
-        self.asked.over_at.remove(worker);
-        self.asked.suspects.remove(worker);
-        self.asked.lives.remove(worker);
-        self.fading.insert(worker.clone(), commit);
+    fn remove(&mut self, worker: &WorkerId, commit: u64) {
+        self.requested.over_at.remove(worker);
+        self.requested.suspects.remove(worker);
+        self.requested.lives.remove(worker);
+        self.being_removed.insert(worker.clone(), commit);
     }
 
     /// Removes the records of workers that are not known any more. Returns whether there were any.
-    fn take_away_unknown(&mut self, known: &BTreeMap<WorkerId, WorkerState>, commit: u64) -> bool {
-        let marked = self.asked.over_at.keys();
-        let unknown: Vec<WorkerId> = marked
+    fn remove_unknown(&mut self, known: &BTreeMap<WorkerId, WorkerState>, commit: u64) -> bool {
+        let recorded = self.requested.over_at.keys();
+        let unknown: Vec<WorkerId> = recorded
             .filter(|id| !known.contains_key(id))
             .cloned()
             .collect();
         for worker in &unknown {
-            self.take_away(worker, commit);
+            self.remove(worker, commit);
         }
         !unknown.is_empty()
     }
 
     /// Handles a commit that took effect. Returns the workers whose records are certainly removed.
     fn note_committed(&mut self, commit: u64) -> Vec<WorkerId> {
-        let gone = self.fading.iter().filter(|(_, with)| **with == commit);
-        let gone: Vec<WorkerId> = gone.map(|(worker, _)| worker.clone()).collect();
-        for worker in &gone {
-            self.fading.remove(worker);
+        let removed = self
+            .being_removed
+            .iter()
+            .filter(|(_, with)| **with == commit);
+        let removed: Vec<WorkerId> = removed.map(|(worker, _)| worker.clone()).collect();
+        for worker in &removed {
+            self.being_removed.remove(worker);
         }
-        gone
+        removed
     }
 }
 
 impl JobScheduler {
     /// Adds records of workers that have become silent and removes those of workers that answer
     /// again, with the commit of this number. Returns all records if any changed.
-    pub(crate) fn changed_marks(&mut self, now: Millis, commit: u64) -> Option<SilentWorkers> {
-        let mut changed = self.marks.take_away_unknown(&self.workers, commit);
-        for id in self.unmarked_silent(now) {
+    pub(crate) fn update_silence_records(
+        &mut self,
+        now: Millis,
+        commit: u64,
+    ) -> Option<SilentWorkers> {
+        let mut changed = self.silence_records.remove_unknown(&self.workers, commit);
+        for id in self.silent_without_record(now) {
             let over_at = self.lease_expires_at(now, &id);
-            if let Some(over_at) = self.store_clock.at_most(over_at) {
+            if let Some(over_at) = self.store_clock.max_clock_at(over_at) {
                 let state = self.workers.get(&id);
                 let incarnation = state.and_then(|state| state.incarnation.id);
                 let suspects = state.map_or_else(Vec::new, |state| self.crash_suspects(state));
-                self.marks.set(&id, over_at, incarnation, suspects);
+                self.silence_records
+                    .set(&id, over_at, incarnation, suspects);
                 changed = true;
-                self.show_mark(&id);
+                self.sync_silence_record(&id);
             }
         }
         let answers =
             |worker: &WorkerState| worker.incarnation.fenced && worker.failed_renewals == 0;
-        let back = self.workers.iter();
-        let back = back.filter(|(_, worker)| worker.mark == LeaseMark::Marked && answers(worker));
-        let back: Vec<WorkerId> = back.map(|(id, _)| id.clone()).collect();
-        for id in back {
-            self.marks.take_away(&id, commit);
+        let answering = self.workers.iter();
+        let answering = answering.filter(|(_, worker)| {
+            worker.silence_record == SilenceRecord::Written && answers(worker)
+        });
+        let answering: Vec<WorkerId> = answering.map(|(id, _)| id.clone()).collect();
+        for id in answering {
+            self.silence_records.remove(&id, commit);
             changed = true;
-            self.show_mark(&id);
+            self.sync_silence_record(&id);
         }
-        self.marks.asked.epoch = self.epoch;
-        changed.then(|| self.marks.asked.clone())
+        self.silence_records.requested.epoch = self.epoch;
+        changed.then(|| self.silence_records.requested.clone())
     }
 
     /// Workers without a record that are silent, or that are unresponsive while few workers are.
-    fn unmarked_silent(&self, now: Millis) -> Vec<WorkerId> {
-        let suspects = self.workers.values();
-        let suspects = suspects.filter(|worker| worker.is_suspect(now)).count();
-        let few = suspects <= FEW_SUSPECTS || suspects * FEW_OF <= self.workers.len();
+    fn silent_without_record(&self, now: Millis) -> Vec<WorkerId> {
+        let unresponsive = self.workers.values();
+        let unresponsive = unresponsive
+            .filter(|worker| worker.is_unresponsive(now))
+            .count();
+        let few = unresponsive <= FEW_UNRESPONSIVE
+            || unresponsive * WORKERS_PER_UNRESPONSIVE <= self.workers.len();
         let wanted = |worker: &WorkerState| {
-            let silent = worker.is_silent(now) && worker.is_suspect(now);
-            worker.mark == LeaseMark::None && (silent || few && worker.is_suspect(now))
+            let silent = worker.is_silent(now) && worker.is_unresponsive(now);
+            worker.silence_record == SilenceRecord::None
+                && (silent || few && worker.is_unresponsive(now))
         };
-        let unmarked = self.workers.iter().filter(|(_, worker)| wanted(worker));
-        unmarked.map(|(id, _)| id.clone()).collect()
+        let unrecorded = self.workers.iter().filter(|(_, worker)| wanted(worker));
+        unrecorded.map(|(id, _)| id.clone()).collect()
     }
 
     /// The time from which nothing that was leased to a worker can be running there.
@@ -189,26 +203,31 @@
     }
 
     /// Copies a worker's record state to the worker, where decisions read it.
-    fn show_mark(&mut self, worker: &WorkerId) {
-        let mark = self.marks.of(worker);
+    fn sync_silence_record(&mut self, worker: &WorkerId) {
+        let silence_record = self.silence_records.state_of(worker);
         if let Some(state) = self.workers.get_mut(worker) {
-            state.mark = mark;
+            state.silence_record = silence_record;
         }
     }
 
     /// Takes over an earlier owner's records: nobody waits for a recorded worker beyond the time in
     /// its record.
-    pub(crate) fn take_over_marks(&mut self, now: Millis, store_ms: u64, marks: SilentWorkers) {
-        let workers: Vec<(WorkerId, u64)> = marks.over_at.clone().into_iter().collect();
-        for (id, suspects) in &marks.suspects {
+    pub(crate) fn inherit_silence_records(
+        &mut self,
+        now: Millis,
+        store_ms: u64,
+        records: SilentWorkers,
+    ) {
+        let workers: Vec<(WorkerId, u64)> = records.over_at.clone().into_iter().collect();
+        for (id, suspects) in &records.suspects {
             if let Some(state) = self.workers.get_mut(id) {
                 state.suspects.clone_from(suspects);
-                state.incarnation.id = marks.lives.get(id).copied().or(state.incarnation.id);
+                state.incarnation.id = records.lives.get(id).copied().or(state.incarnation.id);
             }
         }
-        self.marks.asked = marks;
+        self.silence_records.requested = records;
         for (id, over_at) in workers {
-            self.show_mark(&id);
+            self.sync_silence_record(&id);
             let until = now + over_at.saturating_sub(store_ms);
             let recovery = self.recovery.as_mut();
             if let Some(known) = recovery.and_then(|recovery| recovery.unanswered.get_mut(&id)) {
@@ -218,9 +237,9 @@
     }
 
     /// Handles a commit that took effect: the records that it removed can't be read any more.
-    pub(crate) fn note_marks_gone(&mut self, now: Millis, commit: u64) {
-        for id in self.marks.note_committed(commit) {
-            self.show_mark(&id);
+    pub(crate) fn note_records_removed(&mut self, now: Millis, commit: u64) {
+        for id in self.silence_records.note_committed(commit) {
+            self.sync_silence_record(&id);
             self.renew_soon(now, &id);
         }
     }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -20,12 +20,12 @@
 /// Whether a durable silence record says when the lease of a silent worker ends. The lease must not
 /// be renewed while a successor could read such a record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum LeaseMark {
+pub(crate) enum SilenceRecord {
     /// There is no record.
     #[default]
     None,
     /// The record is durable, or its write is in progress.
-    Marked,
+    Written,
     /// The commit with this number removes the record.
     Removed(u64),
 }
@@ -62,7 +62,7 @@
     /// How many consecutive renewals got no answer.
     pub(crate) failed_renewals: u32,
     /// Whether a successor could read a silence record of this worker.
-    pub(crate) mark: LeaseMark,
+    pub(crate) silence_record: SilenceRecord,
     /// The worker gets no new tasks before this time.
     pub(crate) paused_until: Millis,
     pub(crate) runs: BTreeMap<RunKey, RunRecord>,
@@ -82,7 +82,7 @@
 }
 
 impl WorkerState {
-    pub(crate) fn new(entry: WorkerListing, now: Millis, mark: LeaseMark) -> Self {
+    pub(crate) fn new(entry: WorkerListing, now: Millis, silence_record: SilenceRecord) -> Self {
         Self {
             entry,
             listed: false,
@@ -100,7 +100,7 @@
             silence_logged: false,
             unsure: false,
             failed_renewals: 0,
-            mark,
+            silence_record,
             paused_until: 0,
             runs: BTreeMap::new(),
             suspects: Vec::new(),
@@ -167,7 +167,7 @@
 
     /// Whether its lease may be extended.
     pub(crate) fn may_extend_lease(&self) -> bool {
-        self.mark == LeaseMark::None && !self.unsure
+        self.silence_record == SilenceRecord::None && !self.unsure
     }
 
     /// Whether ends may be acknowledged: the incarnation that receives the acknowledgement must be
@@ -217,7 +217,7 @@
     /// Whether the worker should get a silence record: two consecutive renewals got no answer, or
     /// it did not answer a new owner in time. A single lost call is no evidence, and while a record
     /// exists the lease can't be extended.
-    pub(crate) fn is_suspect(&self, now: Millis) -> bool {
+    pub(crate) fn is_unresponsive(&self, now: Millis) -> bool {
         let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
         self.failed_renewals >= SUSPECT_AFTER_HOLDS || !self.incarnation.fenced && late
     }
@@ -233,7 +233,7 @@
     pub(crate) fn is_open(&self, now: Millis) -> bool {
         let leaves = self.entry.draining || self.missing || self.entry_incarnation_differs();
         let leaves = leaves || self.evacuated;
-        let extendable = self.mark == LeaseMark::None;
+        let extendable = self.silence_record == SilenceRecord::None;
         self.incarnation.fenced
             && extendable
             && !leaves
