--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -22,7 +22,7 @@
         let pause = self.strain.pass_pause_ms(self.waiting.len());
         let paused = self.pass_left_some && now < self.last_pass + pause;
         let starts_at_once = self.strain.starts_at_once();
-        if self.may_be_followed(now) || paused || self.starts_under_way >= starts_at_once {
+        if self.may_be_succeeded(now) || paused || self.starts_under_way >= starts_at_once {
             return;
         }
         if !std::mem::take(&mut self.room_changed) || self.waiting.is_empty() {
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -302,7 +302,7 @@
                 self.handle_renewal_answer(now, &worker, answer)
             }
             JobEvent::Committed(id) => self.take_commit(now, id),
-            JobEvent::SureUntil(until) => self.take_tenure(now, until),
+            JobEvent::SureUntil(until) => self.handle_tenure(now, until),
             JobEvent::Tick { wall_ms } => self.tick(now, wall_ms),
         }
     }
@@ -314,12 +314,12 @@
                 .note_tick(now, now.saturating_sub(self.last_tick));
         }
         self.last_tick = now;
-        self.look_at_tenure(now);
+        self.check_tenure(now);
         self.open_due_times(now);
         self.release_delayed(now);
         self.check_recovery(now);
         self.note_own_leases(now);
-        let sure = !self.may_be_followed(now);
+        let sure = !self.may_be_succeeded(now);
         if sure && now >= self.workers_looked + WORKER_LOOK_MS {
             self.workers_looked = now;
             self.check_workers(now);
--- a/crates/jobs/src/tenure.rs
+++ b/crates/jobs/src/tenure.rs
@@ -10,7 +10,7 @@
 //! processes ends and stops runs that are over for good: both are right under either owner.
 //!
 //! When the store is out for all hosts, nobody can take over. Hosts that report so keep an owner
-//! sure ([`OwnerTenure::note_vouched`]), so that work continues during the outage.
+//! sure ([`OwnerTenure::note_unclaimed`]), so that work continues during the outage.
 
 use sandshelf_model::Millis;
 
@@ -20,7 +20,7 @@
 
 /// The part of the takeover margin that the owner leaves for sending its orders, in milliseconds.
 /// The margin is the time by which a successor waits longer than the leases last.
-const SENDING_MS: Millis = 200;
+const ORDER_SENDING_MS: Millis = 200;
 
 /// Tracks until when an owner can be sure that no successor has taken over.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
     /// How long after a durable renewal of the ownership nobody claims the shard, in milliseconds.
     lease_ms: Millis,
     /// Nobody claims the shard before this time.
-    free_until: Millis,
+    unclaimed_until: Millis,
 }
 
 impl OwnerTenure {
@@ -36,7 +36,7 @@
     pub fn new(lease_ms: Millis, claimed_at: Millis) -> Self {
         Self {
             lease_ms,
-            free_until: claimed_at + lease_ms,
+            unclaimed_until: claimed_at + lease_ms,
         }
     }
 
@@ -44,37 +44,37 @@
     /// renewal alone keeps others from claiming the shard.
     pub fn note_renewed(&mut self, sent: Millis) -> Millis {
         let until = sent + self.lease_ms;
-        self.note_vouched(until);
+        self.note_unclaimed(until);
         until
     }
 
     /// Records that no host claims the shard before `until`.
-    pub fn note_vouched(&mut self, until: Millis) {
-        self.free_until = self.free_until.max(until);
+    pub fn note_unclaimed(&mut self, until: Millis) {
+        self.unclaimed_until = self.unclaimed_until.max(until);
     }
 
     /// The time until which an unnoticed successor would still wait for everything that this owner
     /// orders.
     pub fn sure_until(&self) -> Millis {
-        self.free_until + TAKEOVER_MARGIN_MS - SENDING_MS
+        self.unclaimed_until + TAKEOVER_MARGIN_MS - ORDER_SENDING_MS
     }
 }
 
 impl JobScheduler {
     /// Handles a new time until which no successor can have become active.
-    pub(crate) fn take_tenure(&mut self, now: Millis, sure_until: Millis) {
+    pub(crate) fn handle_tenure(&mut self, now: Millis, sure_until: Millis) {
         self.sure_until = sure_until;
-        self.look_at_tenure(now);
+        self.check_tenure(now);
     }
 
     /// Whether a successor may have taken over, as far as this owner knows.
-    pub(crate) fn may_be_followed(&self, now: Millis) -> bool {
+    pub(crate) fn may_be_succeeded(&self, now: Millis) -> bool {
         now >= self.sure_until
     }
 
     /// Logs when this owner becomes unsure of its ownership, and when it is sure again.
-    pub(crate) fn look_at_tenure(&mut self, now: Millis) {
-        match (self.may_be_followed(now), self.unsure_since) {
+    pub(crate) fn check_tenure(&mut self, now: Millis) {
+        match (self.may_be_succeeded(now), self.unsure_since) {
             (true, None) => {
                 self.unsure_since = Some(now);
                 self.note(JobNote::Unsure);
--- a/crates/jobs/tests/support/emulator/owners.rs
+++ b/crates/jobs/tests/support/emulator/owners.rs
@@ -100,7 +100,7 @@
                 if reachable && epoch == self.epoch {
                     owner.tenure.note_renewed(now);
                 } else if vouched {
-                    owner.tenure.note_vouched(now + SHARD_LEASE_MS);
+                    owner.tenure.note_unclaimed(now + SHARD_LEASE_MS);
                 }
                 events.push(JobEvent::SureUntil(owner.tenure.sure_until()));
             }
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -227,7 +227,7 @@
             _ => self.desk.vouched_until(self.now, &hall(true)),
         };
         if let Some(until) = vouched.filter(|_| self.now >= self.renewed_at + ASK_AFTER_MS) {
-            self.tenure.note_vouched(until);
+            self.tenure.note_unclaimed(until);
         }
     }
 
--- a/crates/sandshelfd/src/jobs/owner/tenure.rs
+++ b/crates/sandshelfd/src/jobs/owner/tenure.rs
@@ -49,7 +49,7 @@
         let renewed_until = owned.tenure.tenure.note_renewed(renewed_at);
         if now >= renewed_at + ASK_AFTER_MS {
             if let Some(until) = owned.relays.vouched_until(now, &self.settings.hall) {
-                owned.tenure.tenure.note_vouched(until);
+                owned.tenure.tenure.note_unclaimed(until);
             }
             if now >= owned.tenure.next_ask {
                 owned.tenure.next_ask = now + ASK_EVERY_MS;
