--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -21,9 +21,9 @@
 
     /// How long after the start of a task's run its worker has to be heard from for the run to be
     /// cleared, in milliseconds.
-    pub(super) fn proof_ms(&self, task: &TaskKey) -> Millis {
+    pub(super) fn clearance_ms(&self, task: &TaskKey) -> Millis {
         let noted = self.noted_task(task);
-        noted.map_or(PROVEN_AFTER_MS, |noted| noted.crashes.proof_ms())
+        noted.map_or(PROVEN_AFTER_MS, |noted| noted.crashes.clearance_ms())
     }
 
     /// The state of a task if it has crash notes.
@@ -42,7 +42,7 @@
     /// counts: it is the last one that the worker can have carried out.
     pub(crate) fn crash_suspects(&self, worker: &WorkerState) -> Vec<CrashSuspect> {
         let mut suspects = self.begun_suspects(worker);
-        if !suspects.iter().any(|suspect| self.is_unproven(suspect)) {
+        if !suspects.iter().any(|suspect| self.is_uncleared(suspect)) {
             suspects.extend(worker.first_unanswered());
         }
         suspects
@@ -52,7 +52,7 @@
     /// are no evidence here: they are sent to a worker that is down until that is noticed.
     pub(super) fn is_unexplained(&self, worker: &WorkerState) -> bool {
         let suspects = self.begun_suspects(worker);
-        !suspects.iter().any(|suspect| self.is_unproven(suspect))
+        !suspects.iter().any(|suspect| self.is_uncleared(suspect))
     }
 
     /// The suspects that the worker is known to have started.
@@ -71,42 +71,42 @@
     }
 
     /// Whether a run is not cleared: it may have brought its worker down, or may do so yet.
-    pub(super) fn is_unproven(&self, suspect: &CrashSuspect) -> bool {
-        suspect.heard_ms < self.proof_ms(&suspect.key.task)
+    pub(super) fn is_uncleared(&self, suspect: &CrashSuspect) -> bool {
+        suspect.heard_ms < self.clearance_ms(&suspect.key.task)
     }
 
     /// The runs on a worker that are not cleared.
-    pub(crate) fn unproven_runs(&self, worker: &WorkerState) -> Vec<RunKey> {
+    pub(crate) fn uncleared_runs(&self, worker: &WorkerState) -> Vec<RunKey> {
         let suspects = self.crash_suspects(worker).into_iter();
-        let unproven = suspects.filter(|suspect| self.is_unproven(suspect));
-        unproven.map(|suspect| suspect.key).collect()
+        let uncleared = suspects.filter(|suspect| self.is_uncleared(suspect));
+        uncleared.map(|suspect| suspect.key).collect()
     }
 
     /// Whether a worker runs a task that has crash notes and is not cleared since.
-    pub(crate) fn has_suspect(&self, worker: &WorkerState) -> bool {
-        let unproven = self.unproven_runs(worker);
-        let mut cautions = unproven.iter().map(|run| self.caution_of(&run.task));
+    pub(crate) fn runs_suspect(&self, worker: &WorkerState) -> bool {
+        let uncleared = self.uncleared_runs(worker);
+        let mut cautions = uncleared.iter().map(|run| self.caution_of(&run.task));
         cautions.any(|caution| caution != StartCaution::Usual)
     }
 
     /// Handles a run that its worker reports as running. It was not lost in a crash, so its crash
     /// note is withdrawn. If the run is cleared, the task did not cause the other recorded crashes
     /// either.
-    pub(crate) fn clear_proven(&mut self, worker: &WorkerId, run: &RunKey) {
+    pub(crate) fn clear_run(&mut self, worker: &WorkerId, run: &RunKey) {
         if !self.crashes.noted.contains(&run.task) {
             return;
         }
         self.withdraw_note(run);
         let state = self.workers.get(worker);
         let heard = state.and_then(|state| state.heard_after(state.runs.get(run)?));
-        if heard.is_none_or(|heard| heard < self.proof_ms(&run.task)) {
+        if heard.is_none_or(|heard| heard < self.clearance_ms(&run.task)) {
             return;
         }
         let job = self.jobs.get_mut(&run.task.job);
         if let Some(task) = job.and_then(|job| job.task_mut(&run.task)) {
             task.crashes = CrashRecord::default();
         }
-        self.crashes.clear(&run.task);
+        self.crashes.forget_task(&run.task);
         self.mark_dirty(run.task.job);
     }
 
@@ -155,35 +155,38 @@
 
     /// Reserves a worker for a task that has to be alone on it: nothing else is started there until
     /// the task's run is cleared.
-    pub(crate) fn keep_worker(&mut self, now: Millis, worker: WorkerId, task: TaskKey) {
+    pub(crate) fn reserve_worker(&mut self, now: Millis, worker: WorkerId, task: TaskKey) {
         self.crashes
-            .kept
+            .reserved
             .insert(worker, (task, now + CRASH_KEPT_MS));
     }
 
     /// Whether another worker may be reserved for a task that has to start alone.
-    pub(crate) fn may_keep_for(&self, task: &TaskKey) -> bool {
-        let kept = &self.crashes.kept;
+    pub(crate) fn may_reserve_for(&self, task: &TaskKey) -> bool {
+        let reserved = &self.crashes.reserved;
         let most = FEWEST_KEPT_WORKERS.max(self.workers.len() / KEPT_OF_WORKERS);
-        kept.len() < most && kept.values().all(|(kept_for, _)| kept_for != task)
+        reserved.len() < most
+            && reserved
+                .values()
+                .all(|(reserved_for, _)| reserved_for != task)
     }
 
     /// Releases reserved workers whose task is running elsewhere or has not been started there in
     /// time.
-    pub(crate) fn free_kept(&mut self, now: Millis) {
-        if self.crashes.kept.is_empty() {
+    pub(crate) fn release_reserved(&mut self, now: Millis) {
+        if self.crashes.reserved.is_empty() {
             return;
         }
         let jobs = &self.jobs;
         let workers = &self.workers;
-        self.crashes.kept.retain(|id, (task, until)| {
+        self.crashes.reserved.retain(|id, (task, until)| {
             let stage = jobs.get(&task.job).and_then(|job| job.task(task));
-            let keeps = match stage.map(|task| &task.stage) {
+            let still_needed = match stage.map(|task| &task.stage) {
                 Some(TaskStage::Live { worker, .. }) => worker == id,
                 Some(TaskStage::Waiting) => now < *until,
                 _ => false,
             };
-            keeps && workers.contains_key(id)
+            still_needed && workers.contains_key(id)
         });
         self.room_changed = true;
     }
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/losses.rs
@@ -3,8 +3,8 @@
 
 use sandshelf_model::{Millis, WorkerId};
 
-use super::book::{AwaitedCrash, BlamedLife};
 use super::record::StartPlace;
+use super::tracker::{PendingCrash, PresumedCrash};
 use super::{CrashNote, StartCaution};
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
 use crate::incarnation::certainly_differ;
@@ -21,17 +21,17 @@
 impl JobScheduler {
     /// Handles the loss of a worker: records the crash, gives up the worker's runs, and gives up
     /// the task that is blamed for the crash.
-    pub(crate) fn lose_crashed(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
-        let convicted = self.note_loss(now, worker, cause);
+    pub(crate) fn handle_worker_loss(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
+        let blamed = self.note_worker_loss(now, worker, cause);
         self.lose_runs(now, worker, cause);
-        if let Some(task) = convicted {
+        if let Some(task) = blamed {
             self.give_up_task(now, task);
         }
     }
 
     /// Records the loss of a worker as a crash if it may be one. Returns the task that is blamed
     /// for it.
-    pub(crate) fn note_loss(
+    pub(crate) fn note_worker_loss(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -42,12 +42,12 @@
         match cause {
             _ if planned => None,
             LossCause::Replaced | LossCause::Restarted => {
-                self.crashes.blamed.remove(worker);
+                self.crashes.presumed.remove(worker);
                 self.note_crash(now, worker)
             }
             LossCause::LeaseOver => {
                 // The worker may be healthy but cut off. Then it answers later.
-                self.blame(worker);
+                self.remember_presumed_crash(worker);
                 self.note_crash(now, worker)
             }
             LossCause::Left | LossCause::NotThere => None,
@@ -60,18 +60,18 @@
         let state = self.workers.get(worker)?;
         let address = state.entry.address;
         let suspects = self.crash_suspects(state);
-        let unproven = suspects.iter().filter(|suspect| self.is_unproven(suspect));
-        let unproven: Vec<RunKey> = unproven.map(|suspect| suspect.key).collect();
+        let uncleared = suspects.iter().filter(|suspect| self.is_uncleared(suspect));
+        let uncleared: Vec<RunKey> = uncleared.map(|suspect| suspect.key).collect();
         let heard_at = state.last_answer;
-        let only = match unproven[..] {
-            [run] if !self.goes_with_others(worker, heard_at) => Some(run),
+        let only = match uncleared[..] {
+            [run] if !self.is_mass_failure(worker, heard_at) => Some(run),
             _ => None,
         };
         if self.is_unexplained(state) {
             self.crashes.note_unexplained(now, heard_at);
         }
-        self.crashes.note_place(now, address);
-        let mut convicted = None;
+        self.crashes.note_crash_address(now, address);
+        let mut blamed = None;
         for suspect in suspects {
             let key = suspect.key;
             let note = CrashNote {
@@ -80,20 +80,20 @@
                 alone: only == Some(key),
                 sudden: suspect.sudden,
             };
-            if self.note_crash_under(now, worker, key.task, note) {
-                convicted = Some(key.task);
+            if self.record_crash_under(now, worker, key.task, note) {
+                blamed = Some(key.task);
             }
         }
         if let Some(state) = self.workers.get_mut(worker) {
             state.suspects.clear();
         }
-        convicted
+        blamed
     }
 
     /// Whether several other workers have gone down or stopped answering at about the same time
     /// without a task on them that explains it. This mass failure may have brought this worker down
     /// as well, so no task can be called the only cause.
-    fn goes_with_others(&self, worker: &WorkerId, heard_at: Millis) -> bool {
+    fn is_mass_failure(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
             let silent =
                 other.failed_renewals > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
@@ -104,7 +104,7 @@
     }
 
     /// Records a crash under a task. Returns whether the task is now blamed.
-    fn note_crash_under(
+    fn record_crash_under(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -113,8 +113,8 @@
     ) -> bool {
         if self.state_pending {
             let worker = worker.clone();
-            let awaited = AwaitedCrash { worker, key, note };
-            self.crashes.awaited.push(awaited);
+            let pending = PendingCrash { worker, key, note };
+            self.crashes.pending.push(pending);
             return false;
         }
         let job = self.jobs.get_mut(&key.job);
@@ -124,7 +124,7 @@
         if task.stage == TaskStage::Done || !task.crashes.add(note) {
             return false;
         }
-        let convicted = task.crashes.convicts();
+        let blamed = task.crashes.is_blamed();
         let crashes = task.crashes.count();
         if crashes > 0 {
             // The task waits for its first crash note to become durable for a limited time only:
@@ -148,24 +148,24 @@
             alone: note.alone,
             crashes,
         });
-        convicted
+        blamed
     }
 
     /// Records the crashes under the tasks of a job that were found before the job was read.
-    pub(crate) fn note_awaited_crashes(&mut self, now: Millis, job: JobNumber) {
-        let awaited = self.crashes.awaited.iter();
-        let (of_job, others) = awaited.cloned().partition(|crash| crash.key.job == job);
-        let of_job: Vec<AwaitedCrash> = of_job;
-        self.crashes.awaited = others;
+    pub(crate) fn note_pending_crashes(&mut self, now: Millis, job: JobNumber) {
+        let pending = self.crashes.pending.iter();
+        let (of_job, others) = pending.cloned().partition(|crash| crash.key.job == job);
+        let of_job: Vec<PendingCrash> = of_job;
+        self.crashes.pending = others;
         for crash in of_job {
-            if self.note_crash_under(now, &crash.worker, crash.key, crash.note) {
+            if self.record_crash_under(now, &crash.worker, crash.key, crash.note) {
                 self.give_up_task(now, crash.key);
             }
         }
     }
 
     /// Remembers which crash notes to withdraw if the worker answers again.
-    fn blame(&mut self, worker: &WorkerId) {
+    fn remember_presumed_crash(&mut self, worker: &WorkerId) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
@@ -173,8 +173,8 @@
         let runs: Vec<RunKey> = suspects.iter().map(|suspect| suspect.key).collect();
         let incarnation = state.incarnation.id;
         if !runs.is_empty() {
-            let blamed = BlamedLife { incarnation, runs };
-            self.crashes.blamed.insert(worker.clone(), blamed);
+            let crash = PresumedCrash { incarnation, runs };
+            self.crashes.presumed.insert(worker.clone(), crash);
         }
     }
 
@@ -182,13 +182,13 @@
     /// incarnation, it was only cut off, and the crash notes under its runs are withdrawn. A worker
     /// that has restarted did crash.
     pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, incarnation: Option<WorkerLife>) {
-        let Some(blamed) = self.crashes.blamed.remove(worker) else {
+        let Some(crash) = self.crashes.presumed.remove(worker) else {
             return;
         };
-        if certainly_differ(blamed.incarnation, incarnation) {
+        if certainly_differ(crash.incarnation, incarnation) {
             return;
         }
-        for key in blamed.runs {
+        for key in crash.runs {
             self.withdraw_note(&key);
         }
     }
@@ -203,7 +203,7 @@
             return;
         }
         if task.crashes.is_empty() {
-            self.crashes.clear(&key.task);
+            self.crashes.forget_task(&key.task);
         }
         self.mark_dirty(key.task.job);
     }
@@ -211,14 +211,14 @@
     /// Removes a worker that is silent, not listed any more and without runs. It is presumed to
     /// have crashed.
     pub(crate) fn forget_silent(&mut self, now: Millis, id: &WorkerId) {
-        self.blame(id);
-        let convicted = self.note_crash(now, id);
+        self.remember_presumed_crash(id);
+        let blamed = self.note_crash(now, id);
         self.workers.remove(id);
         self.foreign.forget_work(id);
         self.worker_order = None;
         self.quarantine.forget(id);
         self.roster_changed |= self.roster.remove(id);
-        if let Some(task) = convicted {
+        if let Some(task) = blamed {
             self.give_up_task(now, task);
         }
     }
@@ -272,7 +272,7 @@
             alone: self.caution_of(&key.task) == StartCaution::Alone,
             sudden: false,
         };
-        if self.note_crash_under(now, &place.worker, key.task, note) {
+        if self.record_crash_under(now, &place.worker, key.task, note) {
             self.give_up_task(now, key.task);
         }
     }
--- a/crates/jobs/src/crash/mod.rs
+++ b/crates/jobs/src/crash/mod.rs
@@ -28,12 +28,12 @@
 //! its next start is written as well, and the silence record of a worker contains the runs that
 //! were uncleared there.
 
-mod book;
 mod caution;
-mod noted;
+mod losses;
 mod probes;
 mod record;
+mod tracker;
 
-pub(crate) use book::CrashBook;
 pub(crate) use record::StartCaution;
 pub use record::{CrashNote, CrashRecord, CrashSuspect};
+pub(crate) use tracker::CrashTracker;
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -88,15 +88,15 @@
     /// How long after the start of a run its worker has to be heard from for the run to be cleared,
     /// in milliseconds. A worker may go down some time after it was last heard from, so a run of a
     /// task with crash notes is cleared later.
-    pub(crate) fn proof_ms(&self) -> Millis {
-        proof_after(&self.notes)
+    pub(crate) fn clearance_ms(&self) -> Millis {
+        clearance_after(&self.notes)
     }
 
     /// How many of the crashes happened before the run was cleared.
     pub(crate) fn count(&self) -> usize {
         let counts = |(index, note): &(usize, &CrashNote)| {
             let before = &self.notes[..*index];
-            note.heard_ms < proof_after(before)
+            note.heard_ms < clearance_after(before)
         };
         self.notes.iter().enumerate().filter(counts).count()
     }
@@ -105,7 +105,7 @@
     /// no other run on the worker was uncleared. Three crashes suffice if workers went down right
     /// with the start twice, which hardly happens to a healthy task by chance; otherwise four are
     /// needed.
-    pub(super) fn convicts(&self) -> bool {
+    pub(super) fn is_blamed(&self) -> bool {
         let alone = self.notes.iter().filter(|note| note.alone).count();
         let last = self.notes.last().is_some_and(|note| note.alone);
         let sudden = self.notes.iter().filter(|note| note.sudden).count();
@@ -169,7 +169,7 @@
 }
 
 /// How long after its start a run of a task with these crashes is cleared, in milliseconds.
-fn proof_after(notes: &[CrashNote]) -> Millis {
+fn clearance_after(notes: &[CrashNote]) -> Millis {
     let longest = notes.iter().map(|note| note.heard_ms).max();
     longest.map_or(PROVEN_AFTER_MS, |longest| longest + UNHEARD_AT_MOST_MS)
 }
--- a/crates/jobs/src/crash/book.rs
+++ b/crates/jobs/src/crash/tracker.rs
@@ -11,7 +11,7 @@
 
 /// An incarnation of a worker that is presumed to have crashed.
 #[derive(Clone, Debug)]
-pub(super) struct BlamedLife {
+pub(super) struct PresumedCrash {
     pub(super) incarnation: Option<WorkerLife>,
     /// The runs under which the crash was recorded.
     pub(super) runs: Vec<RunKey>,
@@ -19,7 +19,7 @@
 
 /// A crash under a task whose job has not been read yet.
 #[derive(Clone, Debug)]
-pub(super) struct AwaitedCrash {
+pub(super) struct PendingCrash {
     pub(super) worker: WorkerId,
     pub(super) key: TaskKey,
     pub(super) note: CrashNote,
@@ -27,21 +27,21 @@
 
 /// The tasks under which workers crashed, and the workers that are reserved for their next start.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CrashBook {
+pub(crate) struct CrashTracker {
     /// The tasks with a recorded crash.
     pub(super) noted: BTreeSet<TaskKey>,
     /// The tasks whose newest crash note is not durable yet.
     pub(super) unwritten: BTreeSet<TaskKey>,
     /// Workers on which only one task may be started, with the task and the time at which the
     /// reservation lapses if the task is still waiting.
-    pub(super) kept: BTreeMap<WorkerId, (TaskKey, Millis)>,
+    pub(super) reserved: BTreeMap<WorkerId, (TaskKey, Millis)>,
     /// Probes to be sent, by time.
     pub(super) probes: BTreeSet<(Millis, WorkerId, RunKey)>,
     /// Crashes recorded for workers that became silent and are not known to have crashed: the same
     /// incarnation may still answer.
-    pub(super) blamed: BTreeMap<WorkerId, BlamedLife>,
+    pub(super) presumed: BTreeMap<WorkerId, PresumedCrash>,
     /// Crashes that were found before the jobs were read.
-    pub(super) awaited: Vec<AwaitedCrash>,
+    pub(super) pending: Vec<PendingCrash>,
     /// Where and when workers crashed recently.
     crashed_at: BTreeMap<SocketAddr, Millis>,
     /// The times at which workers were last heard from that went down without an uncleared run on
@@ -49,12 +49,12 @@
     unexplained: Vec<Millis>,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Whether a task may be started on a worker: the worker is not reserved for another task.
-    pub(crate) fn lets_start(&self, worker: &WorkerId, task: &TaskKey) -> bool {
-        self.kept
+    pub(crate) fn allows_start(&self, worker: &WorkerId, task: &TaskKey) -> bool {
+        self.reserved
             .get(worker)
-            .is_none_or(|(kept_for, _)| kept_for == task)
+            .is_none_or(|(reserved_for, _)| reserved_for == task)
     }
 
     /// Records that a task was restored with crash notes.
@@ -63,18 +63,18 @@
     }
 
     /// Discards crashes under tasks whose jobs were not among those that were read.
-    pub(crate) fn forget_awaited(&mut self) {
-        self.awaited.clear();
+    pub(crate) fn forget_pending(&mut self) {
+        self.pending.clear();
     }
 
     /// Discards the data of a job that has ended.
     pub(crate) fn forget_job(&mut self, job: JobNumber) {
         self.noted.retain(|task| task.job != job);
         self.unwritten.retain(|task| task.job != job);
-        self.kept.retain(|_, (task, _)| task.job != job);
-        self.blamed.retain(|_, blamed| {
-            blamed.runs.retain(|run| run.task.job != job);
-            !blamed.runs.is_empty()
+        self.reserved.retain(|_, (task, _)| task.job != job);
+        self.presumed.retain(|_, crash| {
+            crash.runs.retain(|run| run.task.job != job);
+            !crash.runs.is_empty()
         });
     }
 
@@ -98,14 +98,15 @@
     }
 
     /// Discards a task that is cleared or whose crash notes were withdrawn.
-    pub(super) fn clear(&mut self, task: &TaskKey) {
+    pub(super) fn forget_task(&mut self, task: &TaskKey) {
         self.noted.remove(task);
         self.unwritten.remove(task);
-        self.kept.retain(|_, (kept_for, _)| kept_for != task);
+        self.reserved
+            .retain(|_, (reserved_for, _)| reserved_for != task);
     }
 
     /// Records that a worker at this address crashed.
-    pub(super) fn note_place(&mut self, now: Millis, address: SocketAddr) {
+    pub(super) fn note_crash_address(&mut self, now: Millis, address: SocketAddr) {
         self.crashed_at.retain(|_, at| now < *at + SOUND_AGAIN_MS);
         self.crashed_at.insert(address, now);
     }
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -60,7 +60,7 @@
             job.add_due_times(self.wall_ms);
         }
         self.jobs.insert(number, job);
-        self.note_awaited_crashes(now, number);
+        self.note_pending_crashes(now, number);
         for (worker, sight) in self.foreign.take(number) {
             match sight {
                 ForeignSight::AtWork(clock, run) => {
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -131,7 +131,7 @@
             None if candidate.caution != StartCaution::Usual => {
                 let kept = self.choose_kept(now, &candidate);
                 if let Some(worker) = kept {
-                    self.keep_worker(now, worker, key);
+                    self.reserve_worker(now, worker, key);
                 }
             }
             None => memo.note_failed(&key, service, step, starving),
@@ -229,7 +229,7 @@
             return 0.0;
         }
         let lately = self.crashes.crashed_lately(now, &worker.entry.address);
-        let blurred = lately || self.has_suspect(worker);
+        let blurred = lately || self.runs_suspect(worker);
         let runs = worker.runs.len() as f64 * LOST_RUN_COST;
         match blurred {
             true => runs + BLURRED_CRASH_COST,
@@ -239,7 +239,7 @@
 
     /// Chooses a worker that is kept free of new starts for a task that is to be alone there and found no such worker.
     fn choose_kept(&self, now: Millis, candidate: &Candidate<'_>) -> Option<WorkerId> {
-        if candidate.caution != StartCaution::Alone || !self.may_keep_for(&candidate.key) {
+        if candidate.caution != StartCaution::Alone || !self.may_reserve_for(&candidate.key) {
             return None;
         }
         let apart = Candidate {
@@ -270,10 +270,10 @@
         if !worker.is_open(now) || worker.entry.service != candidate.service || !labelled {
             return false;
         }
-        if !self.crashes.lets_start(id, &candidate.key) {
+        if !self.crashes.allows_start(id, &candidate.key) {
             return false;
         }
-        if candidate.caution == StartCaution::Alone && !self.unproven_runs(worker).is_empty() {
+        if candidate.caution == StartCaution::Alone && !self.uncleared_runs(worker).is_empty() {
             return false;
         }
         let rack = worker.entry.rack.as_deref();
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -135,7 +135,7 @@
             self.note(JobNote::WorkerSilent(id));
         }
         for id in over {
-            self.lose_crashed(now, &id, LossCause::LeaseOver);
+            self.handle_worker_loss(now, &id, LossCause::LeaseOver);
         }
         for id in idle {
             self.forget_silent(now, &id);
--- a/crates/jobs/src/rooms.rs
+++ b/crates/jobs/src/rooms.rs
@@ -39,7 +39,7 @@
     pub(crate) fn forget_rooms(&mut self, now: Millis) {
         if now >= self.began_at + FOREIGN_MS {
             self.ended_rooms.by_job.clear();
-            self.crashes.forget_awaited();
+            self.crashes.forget_pending();
         }
     }
 
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::{Epoch, Millis, WorkerId};
 use sandshelf_place::QuarantineBook;
 
-use crate::crash::CrashBook;
+use crate::crash::CrashTracker;
 use crate::events::{JobAction, JobEvent, WorkerCall};
 use crate::foreign::ForeignRuns;
 use crate::halls::EvacuatedHalls;
@@ -117,7 +117,7 @@
     pub(crate) foreign: ForeignRuns,
     pub(crate) ended_rooms: EndedRooms,
     pub(crate) quarantine: QuarantineBook,
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: CrashTracker,
     pub(crate) images: ImageTable,
     pub(crate) press: PressEstimate,
     pub(crate) loads: LoadBook,
@@ -201,7 +201,7 @@
                 lost_some: false,
             }),
             quarantine: QuarantineBook::with_rule(QUARANTINE),
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             images: ImageTable::default(),
             press: PressEstimate::default(),
             loads: LoadBook::default(),
@@ -324,7 +324,7 @@
             self.workers_looked = now;
             self.check_workers(now);
             self.move_standing_tasks(now);
-            self.free_kept(now);
+            self.release_reserved(now);
         }
         self.refresh_roster(now);
         self.forget_rooms(now);
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -328,14 +328,14 @@
         let Some(state) = self.workers.get(worker) else {
             return;
         };
-        let (runs, newest) = (state.runs.len(), self.unproven_runs(state));
+        let (runs, newest) = (state.runs.len(), self.uncleared_runs(state));
         self.note(JobNote::WorkerGone {
             worker: worker.clone(),
             cause,
             runs,
             newest,
         });
-        self.lose_crashed(now, worker, cause);
+        self.handle_worker_loss(now, worker, cause);
         self.workers.remove(worker);
         self.foreign.forget_work(worker);
         self.worker_order = None;
--- a/crates/jobs/src/start.rs
+++ b/crates/jobs/src/start.rs
@@ -20,7 +20,7 @@
         let gang = places.len() > 1;
         for (key, worker) in &places {
             if self.caution_of(key) == StartCaution::Alone {
-                self.keep_worker(now, worker.clone(), *key);
+                self.reserve_worker(now, worker.clone(), *key);
             }
         }
         let checkpoint = gang.then(|| self.gang_checkpoint(&first)).flatten();
