--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -15,7 +15,7 @@
 
 impl JobScheduler {
     /// Handles the answer to a start order.
-    pub(crate) fn take_start_answer(
+    pub(crate) fn handle_start_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -84,12 +84,12 @@
             if settles {
                 record.phase = match known {
                     true => RunPhase::Running(clock),
-                    false => RunPhase::Elsewhere(now),
+                    false => RunPhase::OtherIncarnation(now),
                 };
             }
         }
         self.note_begun(&key.task);
-        self.probe_begun(now, worker, key);
+        self.schedule_probes(now, worker, key);
         self.guard_worker(now, worker);
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Handles the answer to a stop order.
-    pub(crate) fn take_stop_answer(
+    pub(crate) fn handle_stop_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -128,7 +128,7 @@
                 self.stop_answered(now, worker, key, clock);
             }
             OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
-            OrderAnswer::Unreachable => self.check_left(now, worker),
+            OrderAnswer::Unreachable => self.remove_if_left(now, worker),
             // The stop order is sent again.
             OrderAnswer::Unhealthy
             | OrderAnswer::Invalid
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -42,8 +42,8 @@
             return;
         }
         self.commit_count += 1;
-        let room = COMMIT_JOBS - forget.len();
-        let numbers: Vec<JobNumber> = self.dirty.iter().take(room).copied().collect();
+        let capacity = COMMIT_JOBS - forget.len();
+        let numbers: Vec<JobNumber> = self.dirty.iter().take(capacity).copied().collect();
         self.dirty.drain(..numbers.len());
         let complete = self.dirty.is_empty();
         let crashed = self.crashes.take_unwritten(&numbers);
@@ -67,7 +67,7 @@
             },
             crashed,
         });
-        let strengths = self.due_strengths(now);
+        let strengths = self.due_interference(now);
         self.out.push(JobAction::Commit(CommitBatch {
             id: self.commit_count,
             progress,
@@ -81,7 +81,7 @@
 
     /// What was learnt about images, if it was last written long enough ago. It is only written
     /// along with other changes.
-    fn due_strengths(&mut self, now: Millis) -> Option<StrengthRow> {
+    fn due_interference(&mut self, now: Millis) -> Option<StrengthRow> {
         if now < self.strengths_at + STRENGTHS_EVERY_MS {
             return None;
         }
@@ -109,9 +109,9 @@
     }
 
     fn noted_ends(&self) -> Vec<NotedEnds> {
-        let fresh = self.workers.iter();
-        let fresh = fresh.filter(|(_, worker)| worker.incarnation.has_unwritten());
-        let ends = fresh.map(|(id, worker)| NotedEnds {
+        let unwritten = self.workers.iter();
+        let unwritten = unwritten.filter(|(_, worker)| worker.incarnation.has_unwritten());
+        let ends = unwritten.map(|(id, worker)| NotedEnds {
             worker: id.clone(),
             life: worker.incarnation.id,
             newest: worker.incarnation.noted,
@@ -124,10 +124,10 @@
         let named: Vec<_> = known.filter(|(id, _)| self.roster.contains(*id)).collect();
         let workers = named.iter();
         let workers = workers.map(|(id, worker)| ((*id).clone(), worker.entry.address));
-        let told = named
+        let any_known = named
             .iter()
             .any(|(_, worker)| worker.incarnation.id.is_some());
-        let lives = named.iter().filter(|_| told);
+        let lives = named.iter().filter(|_| any_known);
         WorkerRoster {
             epoch: self.epoch,
             workers: workers.collect(),
@@ -148,7 +148,7 @@
     }
 
     /// Handles a commit that took effect: its ends may be acknowledged.
-    pub(crate) fn take_commit(&mut self, now: Millis, id: u64) {
+    pub(crate) fn handle_commit(&mut self, now: Millis, id: u64) {
         let Some(commit) = self.commit.take_if(|commit| commit.id == id) else {
             return;
         };
--- a/crates/jobs/src/crash/losses.rs
+++ b/crates/jobs/src/crash/losses.rs
@@ -63,7 +63,7 @@
         let uncleared = suspects.iter().filter(|suspect| self.is_uncleared(suspect));
         let uncleared: Vec<RunKey> = uncleared.map(|suspect| suspect.key).collect();
         let heard_at = state.last_answer;
-        let only = match uncleared[..] {
+        let sole_suspect = match uncleared[..] {
             [run] if !self.is_mass_failure(worker, heard_at) => Some(run),
             _ => None,
         };
@@ -77,7 +77,7 @@
             let note = CrashNote {
                 run: key.run,
                 heard_ms: suspect.heard_ms,
-                alone: only == Some(key),
+                alone: sole_suspect == Some(key),
                 sudden: suspect.sudden,
             };
             if self.record_crash_under(now, worker, key.task, note) {
@@ -214,7 +214,7 @@
         self.remember_presumed_crash(id);
         let blamed = self.note_crash(now, id);
         self.workers.remove(id);
-        self.foreign.forget_work(id);
+        self.foreign.forget_running(id);
         self.worker_order = None;
         self.quarantine.forget(id);
         self.roster_changed |= self.roster.remove(id);
@@ -255,7 +255,7 @@
     /// the worker of that start exists in the same incarnation.
     fn note_lost_start(&mut self, now: Millis, place: &StartPlace, key: RunKey) {
         let state = self.workers.get(&place.worker);
-        let stands = |state: &WorkerState| {
+        let is_alive = |state: &WorkerState| {
             let incarnation = match state.incarnation.fenced {
                 true => state.incarnation.id,
                 false => state.entry.life,
@@ -263,7 +263,7 @@
             (state.incarnation.fenced || state.listed)
                 && !certainly_differ(place.incarnation, incarnation)
         };
-        if state.is_some_and(stands) {
+        if state.is_some_and(is_alive) {
             return;
         }
         let note = CrashNote {
--- a/crates/jobs/src/crash/probes.rs
+++ b/crates/jobs/src/crash/probes.rs
@@ -23,7 +23,7 @@
 
 impl JobScheduler {
     /// Schedules the probes of a worker on which a run of a suspected task began.
-    pub(crate) fn probe_begun(&mut self, now: Millis, worker: &WorkerId, key: RunKey) {
+    pub(crate) fn schedule_probes(&mut self, now: Millis, worker: &WorkerId, key: RunKey) {
         if !self.crashes.noted.contains(&key.task) {
             return;
         }
@@ -46,11 +46,11 @@
                 continue;
             };
             record.probes += 1;
-            let pace = record.pace.min(FULL_PACE);
+            let pace = record.pace.min(FULL_PACE_PERCENT);
             self.call(&worker, WorkerCall::Pace(key, pace));
         }
     }
 }
 
 /// The full pace, in percent.
-const FULL_PACE: u32 = 100;
+const FULL_PACE_PERCENT: u32 = 100;
--- a/crates/jobs/src/fill.rs
+++ b/crates/jobs/src/fill.rs
@@ -146,7 +146,7 @@
         };
         for (key, record) in worker.runs.iter().filter(|(_, record)| record.fills) {
             let ask = FillAsk {
-                urgency: FillUrgency::new(now, record.due, record.needs_ms()),
+                urgency: FillUrgency::new(now, record.due, record.remaining_ms()),
                 image: record.image,
                 cpu_millis: record.full_use() as u64,
             };
--- a/crates/jobs/src/foreign.rs
+++ b/crates/jobs/src/foreign.rs
@@ -12,9 +12,9 @@
 
 /// What a worker reported about one run.
 #[derive(Clone, Debug)]
-pub(crate) enum ForeignSight {
+pub(crate) enum ForeignReport {
     /// The run is running, by a report at this time of the worker's clock.
-    AtWork(WorkerClock, RunReport),
+    Running(WorkerClock, RunReport),
     /// The run has ended.
     Ended(EndReport),
 }
@@ -22,36 +22,36 @@
 /// Everything reported for unknown jobs, by run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForeignRuns {
-    seen: BTreeMap<RunKey, (WorkerId, ForeignSight)>,
+    seen: BTreeMap<RunKey, (WorkerId, ForeignReport)>,
 }
 
 impl ForeignRuns {
     pub(crate) fn note_run(&mut self, worker: &WorkerId, clock: WorkerClock, run: RunReport) {
-        let sight = ForeignSight::AtWork(clock, run.clone());
-        self.seen.insert(run.key, (worker.clone(), sight));
+        let report = ForeignReport::Running(clock, run.clone());
+        self.seen.insert(run.key, (worker.clone(), report));
     }
 
     pub(crate) fn note_end(&mut self, worker: &WorkerId, end: EndReport) {
-        let sight = ForeignSight::Ended(end.clone());
-        self.seen.insert(end.key, (worker.clone(), sight));
+        let report = ForeignReport::Ended(end.clone());
+        self.seen.insert(end.key, (worker.clone(), report));
     }
 
     /// Discards the running runs of a worker that is gone or has restarted. Ends that it listed
     /// have happened and are kept.
-    pub(crate) fn forget_work(&mut self, worker: &WorkerId) {
-        let gone = |known: &WorkerId, sight: &ForeignSight| {
-            known == worker && matches!(sight, ForeignSight::AtWork(..))
+    pub(crate) fn forget_running(&mut self, worker: &WorkerId) {
+        let gone = |known: &WorkerId, report: &ForeignReport| {
+            known == worker && matches!(report, ForeignReport::Running(..))
         };
-        self.seen.retain(|_, (known, sight)| !gone(known, sight));
+        self.seen.retain(|_, (known, report)| !gone(known, report));
     }
 
     /// Whether anything was reported by a worker.
-    pub(crate) fn names(&self, worker: &WorkerId) -> bool {
+    pub(crate) fn has_reports_of(&self, worker: &WorkerId) -> bool {
         self.seen.values().any(|(known, _)| known == worker)
     }
 
     /// Removes and returns the reports for a job that has become known.
-    pub(crate) fn take(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignSight)> {
+    pub(crate) fn take_job(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignReport)> {
         let of_job = |key: &RunKey| key.task.job == job;
         let keys: Vec<RunKey> = self.seen.keys().copied().filter(of_job).collect();
         keys.iter()
--- a/crates/jobs/src/guard.rs
+++ b/crates/jobs/src/guard.rs
@@ -144,7 +144,7 @@
         taken: &[&WorkerId],
     ) -> Option<&WorkerId> {
         let asked = FillAsk {
-            urgency: FillUrgency::new(now, record.due, record.needs_ms()),
+            urgency: FillUrgency::new(now, record.due, record.remaining_ms()),
             image: record.image,
             cpu_millis: record.cpu_millis,
         };
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -5,7 +5,7 @@
 
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
-use crate::foreign::ForeignSight;
+use crate::foreign::ForeignReport;
 use crate::ids::{JobNumber, RunKey, WorkerLife};
 use crate::incarnation::IncarnationState;
 use crate::job::{objective_ms, JobState, TaskStage};
@@ -61,12 +61,12 @@
         }
         self.jobs.insert(number, job);
         self.note_pending_crashes(now, number);
-        for (worker, sight) in self.foreign.take(number) {
-            match sight {
-                ForeignSight::AtWork(clock, run) => {
+        for (worker, report) in self.foreign.take_job(number) {
+            match report {
+                ForeignReport::Running(clock, run) => {
                     self.handle_running_report(now, &worker, clock, run)
                 }
-                ForeignSight::Ended(end) => self.take_end(now, &worker, end),
+                ForeignReport::Ended(end) => self.handle_end(now, &worker, end),
             }
         }
         self.open_job_steps(now, number);
@@ -98,7 +98,7 @@
     pub(crate) fn open_job_steps(&mut self, now: Millis, number: JobNumber) {
         let recovery = self.recovery.as_ref();
         let unsettled = recovery.is_some();
-        let fresh = recovery.is_some_and(|recovery| now < recovery.fresh_until);
+        let fresh = recovery.is_some_and(|recovery| now < recovery.new_jobs_wait_until);
         let wall_ms = self.wall_ms;
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -21,14 +21,14 @@
         let settled = |over_at: &Millis| now >= *over_at;
         let over =
             now >= recovery.until || recovery.listed && recovery.unanswered.values().all(settled);
-        if !over && now < recovery.fresh_until {
+        if !over && now < recovery.new_jobs_wait_until {
             return;
         }
         let unanswered: Vec<WorkerId> = recovery.unanswered.keys().cloned().collect();
-        let lost_some = recovery.lost_some || !unanswered.is_empty();
+        let worker_lost = recovery.worker_lost || !unanswered.is_empty();
         if over {
             self.recovery = None;
-            self.forget_leftovers(now);
+            self.forget_orphaned_progress(now);
         }
         let released = |job: &&JobState| over || !job.inherited;
         let jobs = self.jobs.values().filter(released);
@@ -40,7 +40,7 @@
                 unfound: keys.len(),
             });
         }
-        if lost_some {
+        if worker_lost {
             self.note_unfound_suspects(now, &keys);
         }
         for key in &keys {
@@ -54,7 +54,7 @@
 
     /// Publishes the length of this owner's leases to its successors once every lease of an earlier
     /// owner has expired.
-    pub(crate) fn note_own_leases(&mut self, now: Millis) {
+    pub(crate) fn publish_own_lease(&mut self, now: Millis) {
         let lease_ms = self.limits.lease_ms();
         if now >= self.inherited_until && self.roster_lease_ms != lease_ms {
             self.roster_lease_ms = lease_ms;
@@ -74,11 +74,11 @@
 
     /// Schedules the removal of progress rows without a job. An earlier owner may have ended after
     /// it removed a job and before it removed the job's progress.
-    fn forget_leftovers(&mut self, now: Millis) {
+    fn forget_orphaned_progress(&mut self, now: Millis) {
         let inherited = self.inherited.iter();
-        let over = inherited.filter(|(_, row)| row.stage.is_final());
-        let over: Vec<JobNumber> = over.map(|(number, _)| *number).collect();
-        for number in over {
+        let final_rows = inherited.filter(|(_, row)| row.stage.is_final());
+        let final_rows: Vec<JobNumber> = final_rows.map(|(number, _)| *number).collect();
+        for number in final_rows {
             self.inherited.remove(&number);
             self.finished.insert(number);
             self.finished_at.push_back((now, number));
@@ -95,12 +95,12 @@
     /// each of them. When draining workers stayed in it until they were gone, three that had ended
     /// all their runs delayed every unfound task by 11 s.
     pub(crate) fn refresh_roster(&mut self, now: Millis) {
-        if now < self.roster_looked + ROSTER_LOOK_MS {
+        if now < self.roster_checked_at + ROSTER_LOOK_MS {
             return;
         }
-        self.roster_looked = now;
+        self.roster_checked_at = now;
         for (id, worker) in &self.workers {
-            let changed = match worker.may_hold_tasks() || self.foreign.names(id) {
+            let changed = match worker.may_hold_tasks() || self.foreign.has_reports_of(id) {
                 true => !self.roster.contains(id) && self.roster.insert(id.clone()),
                 false => self.roster.remove(id),
             };
@@ -110,7 +110,7 @@
 
     /// Checks for workers that have become silent and for leases that have expired.
     pub(crate) fn check_workers(&mut self, now: Millis) {
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         let mut silent = Vec::new();
         let mut idle = Vec::new();
         for (id, worker) in &self.workers {
@@ -125,7 +125,7 @@
                     idle.push(id.clone());
                 }
             } else if worker.is_silent(now) && worker.incarnation.lease_has_expired(now) {
-                over.push(id.clone());
+                expired.push(id.clone());
             }
         }
         for id in silent {
@@ -134,7 +134,7 @@
             }
             self.note(JobNote::WorkerSilent(id));
         }
-        for id in over {
+        for id in expired {
             self.handle_worker_loss(now, &id, LossCause::LeaseOver);
         }
         for id in idle {
--- a/crates/jobs/src/renewals.rs
+++ b/crates/jobs/src/renewals.rs
@@ -111,7 +111,7 @@
                     OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
                     OrderAnswer::Unreachable => {
                         self.pause_worker(worker, now + UNREACHABLE_PAUSE_MS);
-                        self.check_left(now, worker);
+                        self.remove_if_left(now, worker);
                     }
                     _ => {}
                 }
@@ -175,7 +175,7 @@
             if !held_back {
                 newest = end.number;
             }
-            self.take_end(now, worker, end);
+            self.handle_end(now, worker, end);
         }
         if let Some(state) = self.workers.get_mut(worker) {
             state.incarnation.noted = newest;
@@ -257,7 +257,7 @@
             record.listed = true;
             if matches!(
                 record.phase,
-                RunPhase::Ordered | RunPhase::Unsettled | RunPhase::Elsewhere(_)
+                RunPhase::Ordered | RunPhase::Unsettled | RunPhase::OtherIncarnation(_)
             ) {
                 record.phase = RunPhase::Running(clock);
                 self.note_begun(&key.task);
@@ -354,7 +354,7 @@
         let missing = state.runs.iter().filter(|(key, record)| {
             let settled = match record.phase {
                 RunPhase::Ordered | RunPhase::Unsettled => clock > record.start_deadline,
-                RunPhase::Elsewhere(answered) => sent_at >= answered,
+                RunPhase::OtherIncarnation(answered) => sent_at >= answered,
                 RunPhase::Running(began) => clock > began && record.would_be_listed(sent_at),
                 RunPhase::Stopping { answered, .. } => {
                     answered.is_some_and(|answered| clock > answered)
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -69,31 +69,33 @@
         let listed = listed_runs(report);
         let listed = self.remove_runs_where(worker, |key, _| listed.contains(key));
         let blamed = self.note_worker_loss(now, worker, LossCause::Restarted);
-        let doubtful = self.remove_runs_where(worker, |_, record| !record.would_be_listed(sent_at));
+        let unsettled =
+            self.remove_runs_where(worker, |_, record| !record.would_be_listed(sent_at));
         self.lose_runs(now, worker, LossCause::Restarted);
-        self.foreign.forget_work(worker);
+        self.foreign.forget_running(worker);
         self.quarantine.forget(worker);
         self.roster_changed |= self.roster.contains(worker);
         if let Some(recovery) = &mut self.recovery {
-            recovery.lost_some |= recovery.unanswered.contains_key(worker);
+            recovery.worker_lost |= recovery.unanswered.contains_key(worker);
         }
         if let Some(state) = self.workers.get_mut(worker) {
-            let reached = state.renewal_extends_lease || !listed.is_empty() || !doubtful.is_empty();
+            let may_be_leased =
+                state.renewal_extends_lease || !listed.is_empty() || !unsettled.is_empty();
             // The deadline in an order that was meant for the previous incarnation is on the clock
             // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
             let lease_deadline = longest.min(state.incarnation.lease_deadline);
             state.incarnation = IncarnationState::new(report.life);
-            state.incarnation.lease_deadline = if reached { lease_deadline } else { 0 };
+            state.incarnation.lease_deadline = if may_be_leased { lease_deadline } else { 0 };
             state.paused_until = now;
         }
         for (key, record) in listed {
             self.carry_over_run(now, worker, key, RunPhase::Unsettled, record);
         }
-        for (key, record) in doubtful {
+        for (key, record) in unsettled {
             let phase = match (record.phase, record.answered_at) {
-                (RunPhase::Elsewhere(answered), _) => RunPhase::Elsewhere(answered),
-                (RunPhase::Running(_), Some(answered)) => RunPhase::Elsewhere(answered),
+                (RunPhase::OtherIncarnation(answered), _) => RunPhase::OtherIncarnation(answered),
+                (RunPhase::Running(_), Some(answered)) => RunPhase::OtherIncarnation(answered),
                 _ => RunPhase::Unsettled,
             };
             self.carry_over_run(now, worker, key, phase, record);
@@ -119,8 +121,8 @@
         let runs = state.runs.iter();
         let runs = runs.filter(|(key, record)| condition(key, record));
         let keys: Vec<RunKey> = runs.map(|(key, _)| *key).collect();
-        let taken = keys.into_iter();
-        taken
+        let removed = keys.into_iter();
+        removed
             .filter_map(|key| Some((key, state.remove_run(&key)?)))
             .collect()
     }
--- a/crates/jobs/src/rooms.rs
+++ b/crates/jobs/src/rooms.rs
@@ -58,13 +58,13 @@
         if guarded {
             return worker.free();
         }
-        if worker.has_unsized() || self.foreign.names(id) {
+        if worker.has_unsized_runs() || self.foreign.has_reports_of(id) {
             return ResourceSize::default();
         }
         let fresh = now <= self.last_list + ROOM_KNOWN_MS;
         match fresh && now >= self.lists_since + RELIST_MS {
             true => worker.free(),
-            false => worker.free_of(STALE_ROOM_PERCENT),
+            false => worker.free_at_percent(STALE_ROOM_PERCENT),
         }
     }
 }
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -9,7 +9,7 @@
 
 /// The part of its declared processors that a filling task is assumed to use before its first
 /// reading.
-const USUAL_USE: f64 = 0.87;
+const DEFAULT_USE_RATIO: f64 = 0.87;
 
 /// How far the order to start a run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     Unsettled,
     /// An unknown incarnation of the worker has carried out the order; its answer arrived at this
     /// time. A renewal that is sent later tells whether the run is running.
-    Elsewhere(Millis),
+    OtherIncarnation(Millis),
     /// The worker reported the run as running at this time of its clock.
     Running(WorkerClock),
     /// A stop order was first sent at `sent`; `answered` is the worker's clock in its answer.
@@ -93,7 +93,7 @@
 
     /// How long its job still needs from here on if the run is not slowed down any more, in
     /// milliseconds.
-    pub(crate) fn needs_ms(&self) -> Millis {
+    pub(crate) fn remaining_ms(&self) -> Millis {
         let left = u64::from(100 - self.percent.min(100));
         self.chain.own_ms * left / 100 + self.chain.after_ms
     }
@@ -101,7 +101,7 @@
     /// The processors that it uses at full pace, in thousandths of a core: observed where possible,
     /// else assumed.
     pub(crate) fn full_use(&self) -> f64 {
-        self.cpu_millis as f64 * self.use_ratio.unwrap_or(USUAL_USE)
+        self.cpu_millis as f64 * self.use_ratio.unwrap_or(DEFAULT_USE_RATIO)
     }
 
     /// Creates the record of a run of one of the step's tasks.
@@ -115,7 +115,7 @@
             RunPhase::Running(clock) => Some(clock),
             RunPhase::Ordered
             | RunPhase::Unsettled
-            | RunPhase::Elsewhere(_)
+            | RunPhase::OtherIncarnation(_)
             | RunPhase::Stopping { .. } => None,
         };
         Self {
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -26,7 +26,7 @@
 use crate::spec::{JobSpec, QueueRules};
 use crate::strain::WorkStrain;
 use crate::swing::LoadBook;
-use crate::takeover::{Recovery, TakeoverInfo, FIRST_EPOCH};
+use crate::takeover::{RecoveryState, TakeoverInfo, FIRST_EPOCH};
 use crate::worker::WorkerState;
 
 /// Each owner numbers its runs from its epoch times this, so that numbers rise over owners that know nothing of each other.
@@ -93,7 +93,7 @@
     pub(crate) pending_at: Millis,
     pub(crate) roster: BTreeSet<WorkerId>,
     pub(crate) roster_changed: bool,
-    pub(crate) roster_looked: Millis,
+    pub(crate) roster_checked_at: Millis,
     /// Stops that were sent, with when each is looked at again.
     pub(crate) stop_queue: VecDeque<(Millis, WorkerId, RunKey)>,
     /// The workers in their order, until one comes or goes.
@@ -112,7 +112,7 @@
     pub(crate) lease_published: bool,
     pub(crate) store_clock: StoreClock,
     pub(crate) silence_records: SilenceRecords,
-    pub(crate) recovery: Option<Recovery>,
+    pub(crate) recovery: Option<RecoveryState>,
     pub(crate) began_at: Millis,
     pub(crate) foreign: ForeignRuns,
     pub(crate) ended_rooms: EndedRooms,
@@ -177,7 +177,7 @@
             pending_at: info.claimed_at,
             roster: BTreeSet::new(),
             roster_changed: false,
-            roster_looked: 0,
+            roster_checked_at: 0,
             stop_queue: VecDeque::new(),
             worker_order: None,
             renewal_queue: BTreeSet::new(),
@@ -193,12 +193,12 @@
             began_at: info.claimed_at,
             foreign: ForeignRuns::default(),
             ended_rooms: EndedRooms::default(),
-            recovery: Some(Recovery {
+            recovery: Some(RecoveryState {
                 unanswered: BTreeMap::new(),
                 until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
-                fresh_until: info.claimed_at + FRESH_JOB_WAIT_MS,
+                new_jobs_wait_until: info.claimed_at + FRESH_JOB_WAIT_MS,
                 listed: false,
-                lost_some: false,
+                worker_lost: false,
             }),
             quarantine: QuarantineBook::with_rule(QUARANTINE),
             crashes: CrashTracker::default(),
@@ -290,10 +290,10 @@
             JobEvent::HallsEvacuated(halls) => self.take_evacuated(now, halls),
             JobEvent::StartAnswered(worker, key, answer) => {
                 self.starts_under_way = self.starts_under_way.saturating_sub(1);
-                self.take_start_answer(now, &worker, key, answer);
+                self.handle_start_answer(now, &worker, key, answer);
             }
             JobEvent::StopAnswered(worker, key, answer) => {
-                self.take_stop_answer(now, &worker, key, answer);
+                self.handle_stop_answer(now, &worker, key, answer);
             }
             JobEvent::PaceAnswered(worker, key, answer) => {
                 self.take_pace_answer(now, &worker, key, answer);
@@ -301,7 +301,7 @@
             JobEvent::HoldAnswered(worker, answer) => {
                 self.handle_renewal_answer(now, &worker, answer)
             }
-            JobEvent::Committed(id) => self.take_commit(now, id),
+            JobEvent::Committed(id) => self.handle_commit(now, id),
             JobEvent::SureUntil(until) => self.handle_tenure(now, until),
             JobEvent::Tick { wall_ms } => self.tick(now, wall_ms),
         }
@@ -318,7 +318,7 @@
         self.open_due_times(now);
         self.release_delayed(now);
         self.check_recovery(now);
-        self.note_own_leases(now);
+        self.publish_own_lease(now);
         let sure = !self.may_be_succeeded(now);
         if sure && now >= self.workers_looked + WORKER_LOOK_MS {
             self.workers_looked = now;
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -81,7 +81,7 @@
     }
 
     /// Handles an end that a worker lists.
-    pub(crate) fn take_end(&mut self, now: Millis, worker: &WorkerId, end: EndReport) {
+    pub(crate) fn handle_end(&mut self, now: Millis, worker: &WorkerId, end: EndReport) {
         let record = self.remove_record(now, worker, &end.key);
         let earlier = self.is_of_earlier_owner(&end.key);
         let adopted = earlier && self.may_adopt(&end.key);
@@ -97,7 +97,7 @@
             worker: worker.clone(),
             outcome: end.outcome,
         });
-        self.judge_worker(now, worker, &end);
+        self.update_quarantine(now, worker, &end);
         let key = end.key.task;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -120,14 +120,14 @@
                 task.checkpoint = checkpoint;
             }
         }
-        let other = match &task.stage {
+        let current = match &task.stage {
             TaskStage::Live { worker, run } if *run != end.key.run => Some((worker.clone(), *run)),
             _ => None,
         };
-        let spent = failed && self.count_failure(now, end.key);
+        let exhausted = failed && self.count_failure(now, end.key);
         // The end of another run than the current one doesn't affect the current one, unless the
         // task is done.
-        if let Some((worker, run)) = other {
+        if let Some((worker, run)) = current {
             if end.outcome == RunOutcome::Done && !standing {
                 self.task_done(now, key);
                 self.stop_run(
@@ -143,25 +143,25 @@
             RunOutcome::Done if !standing => self.task_done(now, key),
             // The failures of a standing task are not limited.
             RunOutcome::Failed
-                if newest && !spent && !standing && self.may_have_failed_more(&key) =>
+                if newest && !exhausted && !standing && self.may_have_unreported_failures(&key) =>
             {
-                self.hold_back(&key);
+                self.defer_task(&key);
             }
-            _ if newest && !spent => self.task_freed(now, key),
+            _ if newest && !exhausted => self.requeue_task(now, key),
             _ => {}
         }
     }
 
     /// Whether workers that have not answered this owner yet may report failed runs of a task that
     /// were never recorded.
-    fn may_have_failed_more(&self, key: &TaskKey) -> bool {
+    fn may_have_unreported_failures(&self, key: &TaskKey) -> bool {
         let inherited = self.jobs.get(&key.job).is_some_and(|job| job.inherited);
         self.recovery.is_some() && inherited
     }
 
     /// Defers a task until all workers have answered, or can't hold anything of an earlier owner
     /// any more.
-    fn hold_back(&mut self, key: &TaskKey) {
+    fn defer_task(&mut self, key: &TaskKey) {
         self.mark_dirty(key.job);
         let job = self.jobs.get_mut(&key.job);
         if let Some(task) = job.and_then(|job| job.task_mut(key)) {
@@ -238,17 +238,17 @@
             return false;
         }
         task.failed_runs.push(run.run);
-        let spent = task.failed_runs.len() >= most;
+        let exhausted = task.failed_runs.len() >= most;
         self.note_begun(&key);
         self.mark_dirty(key.job);
-        if spent {
+        if exhausted {
             self.finish_job(now, key.job, JobStage::Failed);
         }
-        spent
+        exhausted
     }
 
     /// Handles the end of a run whose task is not done: the task goes back into the queue.
-    fn task_freed(&mut self, now: Millis, key: TaskKey) {
+    fn requeue_task(&mut self, now: Millis, key: TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -256,8 +256,8 @@
             return;
         };
         let (gang, standing) = (step.gang, step.standing);
-        let remembered = job.task(&key).is_some_and(|task| task.checkpoint.is_some());
-        if !standing || remembered {
+        let has_checkpoint = job.task(&key).is_some_and(|task| task.checkpoint.is_some());
+        if !standing || has_checkpoint {
             self.mark_dirty(key.job);
         }
         // A worker may hold a later run of it, or its step may not be open yet: it is queued later.
@@ -289,7 +289,7 @@
             if record.checkpoint.is_some() {
                 task.checkpoint = record.checkpoint;
             }
-            self.task_freed(now, key.task);
+            self.requeue_task(now, key.task);
         }
     }
 
@@ -337,18 +337,18 @@
         });
         self.handle_worker_loss(now, worker, cause);
         self.workers.remove(worker);
-        self.foreign.forget_work(worker);
+        self.foreign.forget_running(worker);
         self.worker_order = None;
         self.quarantine.forget(worker);
         self.roster_changed |= self.roster.remove(worker);
         if let Some(recovery) = &mut self.recovery {
-            recovery.lost_some |= recovery.unanswered.remove(worker).is_some();
+            recovery.worker_lost |= recovery.unanswered.remove(worker).is_some();
         }
     }
 
     /// Removes a draining worker that is not listed any more. It has left, since it takes no
     /// connection.
-    pub(crate) fn check_left(&mut self, now: Millis, worker: &WorkerId) {
+    pub(crate) fn remove_if_left(&mut self, now: Millis, worker: &WorkerId) {
         let left = |state: &crate::worker::WorkerState| state.entry.draining && !state.listed;
         if self.workers.get(worker).is_some_and(left) {
             self.lose_worker(now, worker, LossCause::Left);
@@ -357,7 +357,7 @@
 
     /// Counts failures and successes of a worker for its quarantine: a worker on which everything
     /// fails gets no new tasks.
-    fn judge_worker(&mut self, now: Millis, worker: &WorkerId, end: &EndReport) {
+    fn update_quarantine(&mut self, now: Millis, worker: &WorkerId, end: &EndReport) {
         match end.outcome {
             RunOutcome::Failed => {
                 let job = JobId::from(end.key.task.job.to_string());
--- a/crates/jobs/src/takeover.rs
+++ b/crates/jobs/src/takeover.rs
@@ -70,7 +70,7 @@
 
 /// The workers that may hold tasks of an earlier owner and that have not answered this owner yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Recovery {
+pub(crate) struct RecoveryState {
     /// For each worker, the time from which nothing of an earlier owner can be running there.
     pub(crate) unanswered: BTreeMap<WorkerId, Millis>,
     /// The time from which nothing that an earlier owner leased can be running anywhere.
@@ -78,15 +78,15 @@
     /// The time from which jobs that are newer than the takeover don't wait for unanswered workers
     /// any more: only an earlier owner that still reaches such a worker could have started them
     /// there.
-    pub(crate) fresh_until: Millis,
+    pub(crate) new_jobs_wait_until: Millis,
     /// Whether the worker list has been read since the claim.
     pub(crate) listed: bool,
     /// Whether a worker was lost that an earlier owner had sent orders to and that had not answered
     /// this owner.
-    pub(crate) lost_some: bool,
+    pub(crate) worker_lost: bool,
 }
 
-impl Recovery {
+impl RecoveryState {
     /// The time from which nothing of an earlier owner can be running on a worker that has not
     /// answered.
     pub(crate) fn over_at(&self, worker: &WorkerId) -> Millis {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -255,7 +255,7 @@
     }
 
     /// The capacity that would be free if only this percentage of the known capacity existed.
-    pub(crate) fn free_of(&self, percent: u64) -> ResourceSize {
+    pub(crate) fn free_at_percent(&self, percent: u64) -> ResourceSize {
         let ResourceSize {
             cpu_millis,
             memory_mib,
@@ -267,7 +267,7 @@
     }
 
     /// Whether any run here has an unknown size.
-    pub(crate) fn has_unsized(&self) -> bool {
+    pub(crate) fn has_unsized_runs(&self) -> bool {
         self.unsized_runs > 0
     }
 
