--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -92,7 +92,7 @@
     /// Handles a run that its worker reports as running. It was not lost in a crash, so its crash
     /// note is withdrawn. If the run is cleared, the task did not cause the other recorded crashes
     /// either.
-    pub(crate) fn clear_run(&mut self, worker: &WorkerId, run: &RunKey) {
+    pub(crate) fn clear_if_survived(&mut self, worker: &WorkerId, run: &RunKey) {
         if !self.crashes.noted.contains(&run.task) {
             return;
         }
--- a/crates/jobs/src/foreign.rs
+++ b/crates/jobs/src/foreign.rs
@@ -51,7 +51,7 @@
     }
 
     /// Removes and returns the reports for a job that has become known.
-    pub(crate) fn take_job(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignReport)> {
+    pub(crate) fn take_reports_of(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignReport)> {
         let of_job = |key: &RunKey| key.task.job == job;
         let keys: Vec<RunKey> = self.seen.keys().copied().filter(of_job).collect();
         keys.iter()
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -61,7 +61,7 @@
         }
         self.jobs.insert(number, job);
         self.note_pending_crashes(now, number);
-        for (worker, report) in self.foreign.take_job(number) {
+        for (worker, report) in self.foreign.take_reports_of(number) {
             match report {
                 ForeignReport::Running(clock, run) => {
                     self.handle_running_report(now, &worker, clock, run)
--- a/crates/jobs/src/renewals.rs
+++ b/crates/jobs/src/renewals.rs
@@ -262,7 +262,7 @@
                 record.phase = RunPhase::Running(clock);
                 self.note_begun(&key.task);
             }
-            self.clear_run(worker, &key);
+            self.clear_if_survived(worker, &key);
             self.stop_again(now, worker, key, clock);
             return;
         }
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -45,8 +45,9 @@
     /// those that the new one may hold.
     ///
     /// Runs that the report lists are running there. Runs that the previous incarnation confirmed,
-    /// in a report or in an answer that came before the renewal of this report was sent, have ended
-    /// with it. Any other run may be running in the new incarnation, or may yet be started there.
+    /// in a report or in an answer that came before the renewal that this report answers was sent,
+    /// have ended with it. Any other run may be running in the new incarnation, or may yet be started
+    /// there.
     fn begin_incarnation(
         &mut self,
         now: Millis,
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    fn set(
+    fn add_record(
         &mut self,
         worker: &WorkerId,
         over_at: u64,
@@ -105,7 +105,7 @@
         }
     }
 
-    fn remove(&mut self, worker: &WorkerId, commit: u64) {
+    fn remove_record(&mut self, worker: &WorkerId, commit: u64) {
         self.requested.over_at.remove(worker);
         self.requested.suspects.remove(worker);
         self.requested.lives.remove(worker);
@@ -120,7 +120,7 @@
             .cloned()
             .collect();
         for worker in &unknown {
-            self.remove(worker, commit);
+            self.remove_record(worker, commit);
         }
         !unknown.is_empty()
     }
@@ -155,7 +155,7 @@
                 let incarnation = state.and_then(|state| state.incarnation.id);
                 let suspects = state.map_or_else(Vec::new, |state| self.crash_suspects(state));
                 self.silence_records
-                    .set(&id, over_at, incarnation, suspects);
+                    .add_record(&id, over_at, incarnation, suspects);
                 changed = true;
                 self.sync_silence_record(&id);
             }
@@ -168,7 +168,7 @@
         });
         let answering: Vec<WorkerId> = answering.map(|(id, _)| id.clone()).collect();
         for id in answering {
-            self.silence_records.remove(&id, commit);
+            self.silence_records.remove_record(&id, commit);
             changed = true;
             self.sync_silence_record(&id);
         }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -271,7 +271,7 @@
         self.unsized_runs > 0
     }
 
-    /// The processors held by tasks that neither stand nor fill, in thousandths of a core.
+    /// The processors held by tasks that are neither standing nor filling, in thousandths of a core.
     pub(crate) fn ordinary_cpu(&self) -> u64 {
         self.ordinary_cpu
     }
