--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -1,4 +1,5 @@
-//! What is written durably, and when: many jobs in one write, and the numbers of waiting jobs beside them.
+//! Builds commits: the progress of many jobs in one write, together with the counts of waiting
+//! jobs.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Begins a write where one is wanted and none is under way.
+    /// Starts a commit if there is something to write and no commit is in flight.
     pub(crate) fn begin_commit(&mut self, now: Millis) {
         if self.commit.is_some() {
             return;
@@ -28,10 +29,10 @@
         if !due {
             return;
         }
-        // What is taken out here is written in any case: there is no way back behind this line.
+        // Everything that is taken from here on must be written: it can't be put back.
         let pending = self.changed_pending(now);
         let forget = self.outdated_jobs(now);
-        let silent = self.changed_marks(now, self.commit_count + 1);
+        let silent = self.update_silence_records(now, self.commit_count + 1);
         let wanted = !self.dirty.is_empty()
             || silent.is_some()
             || self.roster_changed
@@ -41,8 +42,8 @@
             return;
         }
         self.commit_count += 1;
-        let room = COMMIT_JOBS - forget.len();
-        let numbers: Vec<JobNumber> = self.dirty.iter().take(room).copied().collect();
+        let capacity = COMMIT_JOBS - forget.len();
+        let numbers: Vec<JobNumber> = self.dirty.iter().take(capacity).copied().collect();
         self.dirty.drain(..numbers.len());
         let complete = self.dirty.is_empty();
         let crashed = self.crashes.take_unwritten(&numbers);
@@ -66,7 +67,7 @@
             },
             crashed,
         });
-        let interference = self.due_strengths(now);
+        let interference = self.due_interference(now);
         self.out.push(JobAction::Commit(CommitBatch {
             id: self.commit_count,
             progress,
@@ -78,8 +79,9 @@
         }));
     }
 
-    /// What is learnt of images, where it was last written some time ago; it goes along with other writes.
-    fn due_strengths(&mut self, now: Millis) -> Option<InterferenceRow> {
+    /// What was learnt about images, if it was last written long enough ago. It is only written
+    /// along with other changes.
+    fn due_interference(&mut self, now: Millis) -> Option<InterferenceRow> {
         if now < self.interference_written_at + STRENGTHS_EVERY_MS {
             return None;
         }
@@ -87,7 +89,8 @@
         Some(self.interference.to_row(&self.images)).filter(|row| !row.pairs.is_empty())
     }
 
-    /// Jobs that ended long ago, a few at a time; they stay known here until the write is asked for.
+    /// A limited number of jobs that ended long ago. They stay known here until the write is
+    /// requested.
     fn outdated_jobs(&mut self, now: Millis) -> Vec<JobNumber> {
         let old = |at: Millis| now > at + self.limits.keep_finished_ms;
         let count = self.finished_at.iter().take(FORGET_AT_ONCE);
@@ -106,12 +109,12 @@
     }
 
     fn noted_ends(&self) -> Vec<NotedEnds> {
-        let fresh = self.workers.iter();
-        let fresh = fresh.filter(|(_, worker)| worker.life.has_unwritten());
-        let ends = fresh.map(|(id, worker)| NotedEnds {
+        let unwritten = self.workers.iter();
+        let unwritten = unwritten.filter(|(_, worker)| worker.incarnation.has_unwritten());
+        let ends = unwritten.map(|(id, worker)| NotedEnds {
             worker: id.clone(),
-            life: worker.life.name,
-            newest: worker.life.noted,
+            life: worker.incarnation.id,
+            newest: worker.incarnation.noted,
         });
         ends.collect()
     }
@@ -121,50 +124,52 @@
         let named: Vec<_> = known.filter(|(id, _)| self.roster.contains(*id)).collect();
         let workers = named.iter();
         let workers = workers.map(|(id, worker)| ((*id).clone(), worker.entry.address));
-        let told = named.iter().any(|(_, worker)| worker.life.name.is_some());
-        let lives = named.iter().filter(|_| told);
+        let any_known = named
+            .iter()
+            .any(|(_, worker)| worker.incarnation.id.is_some());
+        let lives = named.iter().filter(|_| any_known);
         WorkerRoster {
             epoch: self.epoch,
             workers: workers.collect(),
-            lives: lives.map(|(_, worker)| worker.life.name).collect(),
+            lives: lives.map(|(_, worker)| worker.incarnation.id).collect(),
             lease_ms: Some(self.roster_lease_ms),
         }
     }
 
-    /// Nothing waits to be written: all ends that were taken in may be acknowledged.
+    /// Acknowledges all processed ends, since no change waits to be written.
     fn acknowledge_all(&mut self, now: Millis) {
         let gap = self.backlog.renewal_gap_ms();
         for ends in self.noted_ends() {
             if let Some(state) = self.workers.get_mut(&ends.worker) {
-                state.life.durable = ends.newest;
+                state.incarnation.durable = ends.newest;
             }
-            self.hold_at(&ends.worker, now + gap);
+            self.schedule_renewal(&ends.worker, now + gap);
         }
     }
 
-    /// Takes in that a write took effect: its ends may be acknowledged.
-    pub(crate) fn take_commit(&mut self, now: Millis, id: u64) {
+    /// Handles a commit that took effect: its ends may be acknowledged.
+    pub(crate) fn handle_commit(&mut self, now: Millis, id: u64) {
         let Some(commit) = self.commit.take_if(|commit| commit.id == id) else {
             return;
         };
-        self.note_marks_gone(now, id);
+        self.note_records_removed(now, id);
         self.lease_published |= commit.roster;
         self.release_noted(now, commit.crashed);
         let gap = self.backlog.renewal_gap_ms();
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
-            // Numbers of a life that is over say nothing of the one that has begun since.
-            let Some(state) = state.filter(|state| state.life.name == ends.life) else {
+            // End numbers of an earlier incarnation don't apply to the current one.
+            let Some(state) = state.filter(|state| state.incarnation.id == ends.life) else {
                 continue;
             };
-            state.life.durable = state.life.durable.max(ends.newest);
-            if !state.life.has_unwritten() {
-                self.hold_at(&ends.worker, now + gap);
+            state.incarnation.durable = state.incarnation.durable.max(ends.newest);
+            if !state.incarnation.has_unwritten() {
+                self.schedule_renewal(&ends.worker, now + gap);
             }
         }
     }
 
-    /// The numbers of waiting jobs, where they changed and are due to be published.
+    /// The counts of waiting jobs by queue, if they changed and may be published again.
     fn changed_pending(&mut self, now: Millis) -> Option<BTreeMap<String, u64>> {
         if self.state_pending || now < self.pending_at + PENDING_EVERY_MS {
             return None;
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/losses.rs
@@ -1,13 +1,14 @@
-//! What becomes of a worker that is lost: crashes are noted with the runs that may have caused them, and a task that has is given up.
+//! Handles lost workers: records crashes under the runs that may have caused them, and gives up a
+//! task that is blamed.
 
 use sandshelf_model::{Millis, WorkerId};
 
-use super::book::{AwaitedCrash, BlamedLife};
 use super::record::StartPlace;
+use super::tracker::{PendingCrash, PresumedCrash};
 use super::{CrashNote, StartCaution};
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::incarnation::certainly_differ;
 use crate::job::TaskStage;
-use crate::life::are_others;
 use crate::limits::{
     ALONE_FROM_CRASHES, CRASH_WAIT_MS, FEWEST_IN_HERD, HERD_MS, HERD_OF_WORKERS,
     UNFOUND_WATCHED_AT_MOST,
@@ -18,17 +19,19 @@
 use crate::worker::WorkerState;
 
 impl JobScheduler {
-    /// A worker is lost: notes the crash, gives up its runs, and gives up the task that has brought it down.
-    pub(crate) fn lose_crashed(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
-        let convicted = self.note_loss(now, worker, cause);
+    /// Handles the loss of a worker: records the crash, gives up the worker's runs, and gives up
+    /// the task that is blamed for the crash.
+    pub(crate) fn handle_worker_loss(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
+        let blamed = self.note_worker_loss(now, worker, cause);
         self.lose_runs(now, worker, cause);
-        if let Some(task) = convicted {
+        if let Some(task) = blamed {
             self.give_up_task(now, task);
         }
     }
 
-    /// Notes the loss of a worker as a crash, where it may be one; returns the task that has brought it down.
-    pub(crate) fn note_loss(
+    /// Records the loss of a worker as a crash if it may be one. Returns the task that is blamed
+    /// for it.
+    pub(crate) fn note_worker_loss(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -39,66 +42,69 @@
         match cause {
             _ if planned => None,
             LossCause::Replaced | LossCause::Restarted => {
-                self.crashes.blamed.remove(worker);
+                self.crashes.presumed.remove(worker);
                 self.note_crash(now, worker)
             }
             LossCause::LeaseOver => {
-                // It may be cut off and sound; then it answers some time.
-                self.blame(worker);
+                // The worker may be healthy but cut off. Then it answers later.
+                self.remember_presumed_crash(worker);
                 self.note_crash(now, worker)
             }
             LossCause::Left | LossCause::NotThere => None,
         }
     }
 
-    /// Notes a crash with all that may have caused it; returns the task that did, where that is certain.
+    /// Records a crash under all runs that may have caused it. Returns the task that is blamed if
+    /// the cause is certain.
     pub(crate) fn note_crash(&mut self, now: Millis, worker: &WorkerId) -> Option<TaskKey> {
         let state = self.workers.get(worker)?;
         let address = state.entry.address;
         let suspects = self.crash_suspects(state);
-        let unproven = suspects.iter().filter(|suspect| self.is_unproven(suspect));
-        let unproven: Vec<RunKey> = unproven.map(|suspect| suspect.key).collect();
+        let uncleared = suspects.iter().filter(|suspect| self.is_uncleared(suspect));
+        let uncleared: Vec<RunKey> = uncleared.map(|suspect| suspect.key).collect();
         let heard_at = state.last_answer;
-        let only = match unproven[..] {
-            [run] if !self.goes_with_others(worker, heard_at) => Some(run),
+        let sole_suspect = match uncleared[..] {
+            [run] if !self.is_mass_failure(worker, heard_at) => Some(run),
             _ => None,
         };
         if self.is_unexplained(state) {
             self.crashes.note_unexplained(now, heard_at);
         }
-        self.crashes.note_place(now, address);
-        let mut convicted = None;
+        self.crashes.note_crash_address(now, address);
+        let mut blamed = None;
         for suspect in suspects {
             let key = suspect.key;
             let note = CrashNote {
                 run: key.run,
                 heard_ms: suspect.heard_ms,
-                alone: only == Some(key),
+                alone: sole_suspect == Some(key),
                 sudden: suspect.sudden,
             };
-            if self.note_crash_under(now, worker, key.task, note) {
-                convicted = Some(key.task);
+            if self.record_crash_under(now, worker, key.task, note) {
+                blamed = Some(key.task);
             }
         }
         if let Some(state) = self.workers.get_mut(worker) {
             state.suspects.clear();
         }
-        convicted
+        blamed
     }
 
-    /// Whether several other workers go down, or don't answer, since about the same time although no task on them explains it: what has
-    /// brought those down may have brought this one down as well, so that nothing can be said to be the only cause.
-    fn goes_with_others(&self, worker: &WorkerId, heard_at: Millis) -> bool {
+    /// Whether several other workers have gone down or stopped answering at about the same time
+    /// without a task on them that explains it. This mass failure may have brought this worker down
+    /// as well, so no task can be called the only cause.
+    fn is_mass_failure(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
-            let silent = other.failed_holds > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
+            let silent =
+                other.failed_renewals > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
             silent && *id != worker && self.is_unexplained(other)
         });
         let unexplained = self.crashes.unexplained_near(heard_at) + failing.count();
         unexplained >= FEWEST_IN_HERD.max(self.workers.len() / HERD_OF_WORKERS)
     }
 
-    /// Notes a crash with a task; returns whether that convicts it.
-    fn note_crash_under(
+    /// Records a crash under a task. Returns whether the task is now blamed.
+    fn record_crash_under(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -107,8 +113,8 @@
     ) -> bool {
         if self.state_pending {
             let worker = worker.clone();
-            let awaited = AwaitedCrash { worker, key, note };
-            self.crashes.awaited.push(awaited);
+            let pending = PendingCrash { worker, key, note };
+            self.crashes.pending.push(pending);
             return false;
         }
         let job = self.jobs.get_mut(&key.job);
@@ -118,10 +124,11 @@
         if task.stage == TaskStage::Done || !task.crashes.add(note) {
             return false;
         }
-        let convicted = task.crashes.convicts();
+        let blamed = task.crashes.is_blamed();
         let crashes = task.crashes.count();
         if crashes > 0 {
-            // A first note is waited for a while only: while the store is out, sound tasks that were lost with their worker go on.
+            // The task waits for its first crash note to become durable for a limited time only:
+            // while the store is out, healthy tasks that were lost with their worker must continue.
             task.not_before = match crashes < ALONE_FROM_CRASHES {
                 true => now + CRASH_WAIT_MS,
                 false => Millis::MAX,
@@ -141,51 +148,52 @@
             alone: note.alone,
             crashes,
         });
-        convicted
+        blamed
     }
 
-    /// A job was read: notes the crashes under its tasks that became known before.
-    pub(crate) fn note_awaited_crashes(&mut self, now: Millis, job: JobNumber) {
-        let awaited = self.crashes.awaited.iter();
-        let (of_job, others) = awaited.cloned().partition(|crash| crash.key.job == job);
-        let of_job: Vec<AwaitedCrash> = of_job;
-        self.crashes.awaited = others;
+    /// Records the crashes under the tasks of a job that were found before the job was read.
+    pub(crate) fn note_pending_crashes(&mut self, now: Millis, job: JobNumber) {
+        let pending = self.crashes.pending.iter();
+        let (of_job, others) = pending.cloned().partition(|crash| crash.key.job == job);
+        let of_job: Vec<PendingCrash> = of_job;
+        self.crashes.pending = others;
         for crash in of_job {
-            if self.note_crash_under(now, &crash.worker, crash.key, crash.note) {
+            if self.record_crash_under(now, &crash.worker, crash.key, crash.note) {
                 self.give_up_task(now, crash.key);
             }
         }
     }
 
-    /// Keeps in mind which notes say nothing should the worker answer again.
-    fn blame(&mut self, worker: &WorkerId) {
+    /// Remembers which crash notes to withdraw if the worker answers again.
+    fn remember_presumed_crash(&mut self, worker: &WorkerId) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
         let suspects = self.crash_suspects(state);
         let runs: Vec<RunKey> = suspects.iter().map(|suspect| suspect.key).collect();
-        let life = state.life.name;
+        let incarnation = state.incarnation.id;
         if !runs.is_empty() {
-            let blamed = BlamedLife { life, runs };
-            self.crashes.blamed.insert(worker.clone(), blamed);
+            let crash = PresumedCrash { incarnation, runs };
+            self.crashes.presumed.insert(worker.clone(), crash);
         }
     }
 
-    /// A worker that was taken as crashed answers: where it is the same life it was cut off, and what was noted with its runs says
-    /// nothing. One that has started again has crashed.
-    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, life: Option<WorkerLife>) {
-        let Some(blamed) = self.crashes.blamed.remove(worker) else {
+    /// Handles an answer of a worker that was presumed to have crashed. If it is the same
+    /// incarnation, it was only cut off, and the crash notes under its runs are withdrawn. A worker
+    /// that has restarted did crash.
+    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, incarnation: Option<WorkerLife>) {
+        let Some(crash) = self.crashes.presumed.remove(worker) else {
             return;
         };
-        if are_others(blamed.life, life) {
+        if certainly_differ(crash.incarnation, incarnation) {
             return;
         }
-        for key in blamed.runs {
+        for key in crash.runs {
             self.withdraw_note(&key);
         }
     }
 
-    /// Takes back what was noted with one run.
+    /// Withdraws the crash note under one run.
     pub(crate) fn withdraw_note(&mut self, key: &RunKey) {
         let job = self.jobs.get_mut(&key.task.job);
         let Some(task) = job.and_then(|job| job.task_mut(&key.task)) else {
@@ -195,29 +203,31 @@
             return;
         }
         if task.crashes.is_empty() {
-            self.crashes.clear(&key.task);
+            self.crashes.forget_task(&key.task);
         }
         self.mark_dirty(key.task.job);
     }
 
-    /// Forgets a worker that is silent, not listed any more and without runs: it has crashed, as far as can be known.
+    /// Removes a worker that is silent, not listed any more and without runs. It is presumed to
+    /// have crashed.
     pub(crate) fn forget_silent(&mut self, now: Millis, id: &WorkerId) {
-        self.blame(id);
-        let convicted = self.note_crash(now, id);
+        self.remember_presumed_crash(id);
+        let blamed = self.note_crash(now, id);
         self.workers.remove(id);
-        self.foreign.forget_work(id);
+        self.foreign.forget_running(id);
         self.worker_order = None;
         self.quarantine.forget(id);
         self.roster_changed |= self.roster.remove(id);
-        if let Some(task) = convicted {
+        if let Some(task) = blamed {
             self.give_up_task(now, task);
         }
     }
 
-    /// A new owner finds tasks nowhere while workers are lost that an earlier owner gave orders to: what those workers had is noted by
-    /// nobody else. A task that was started again with a note has crashed one worker more where that worker is lost; any other
-    /// is watched, so that its next start is written down. Without this a task is started by owner after owner
-    /// where each dies before it has noted what happened.
+    /// Handles the tasks that a new owner finds nowhere, when workers were lost that an earlier
+    /// owner had sent orders to: nobody else records what those workers ran. If a task was started
+    /// again with crash notes and the worker of that start is lost, another crash is recorded. Any
+    /// other task is watched, so that its next start is written. Otherwise each owner in a row
+    /// would start such a task again if each dies before it has recorded the crash.
     pub(crate) fn note_unfound_suspects(&mut self, now: Millis, unfound: &[TaskKey]) {
         let few = unfound.len() <= UNFOUND_WATCHED_AT_MOST;
         for task in unfound {
@@ -241,17 +251,19 @@
         }
     }
 
-    /// An earlier owner started a task with a note on a worker: notes one crash more, unless that worker stands and is in the same life.
+    /// Records another crash under a task with crash notes that an earlier owner started, unless
+    /// the worker of that start exists in the same incarnation.
     fn note_lost_start(&mut self, now: Millis, place: &StartPlace, key: RunKey) {
         let state = self.workers.get(&place.worker);
-        let stands = |state: &WorkerState| {
-            let life = match state.life.fenced {
-                true => state.life.name,
+        let is_alive = |state: &WorkerState| {
+            let incarnation = match state.incarnation.fenced {
+                true => state.incarnation.id,
                 false => state.entry.life,
             };
-            (state.life.fenced || state.listed) && !are_others(place.life, life)
+            (state.incarnation.fenced || state.listed)
+                && !certainly_differ(place.incarnation, incarnation)
         };
-        if state.is_some_and(stands) {
+        if state.is_some_and(is_alive) {
             return;
         }
         let note = CrashNote {
@@ -260,7 +272,7 @@
             alone: self.caution_of(&key.task) == StartCaution::Alone,
             sudden: false,
         };
-        if self.note_crash_under(now, &place.worker, key.task, note) {
+        if self.record_crash_under(now, &place.worker, key.task, note) {
             self.give_up_task(now, key.task);
         }
     }
--- a/crates/jobs/src/fill.rs
+++ b/crates/jobs/src/fill.rs
@@ -151,7 +151,7 @@
         };
         for (key, record) in worker.runs.iter().filter(|(_, record)| record.fills) {
             let request = FillRequest {
-                urgency: FillUrgency::new(now, record.due, record.needs_ms()),
+                urgency: FillUrgency::new(now, record.due, record.remaining_ms()),
                 image: record.image,
                 cpu_millis: record.full_use() as u64,
             };
--- /dev/null
+++ b/crates/jobs/src/incarnation.rs
@@ -0,0 +1,137 @@
+//! The state of one incarnation of a worker.
+//!
+//! A worker that restarts keeps its name, but its clock and its end numbers start anew. Values read
+//! from or sent to different incarnations must not be compared. Everything that is valid for a
+//! single incarnation is kept here and is dropped with it.
+
+use sandshelf_model::Millis;
+
+use crate::ids::WorkerLife;
+use crate::limits::SLOWEST_CLOCK_PERCENT;
+use crate::reports::WorkerClock;
+
+/// The largest difference that clocks may build up while one order is under way, plus the longest
+/// delay with which a host reads its own clock, in milliseconds.
+const CLOCK_SLACK_MS: Millis = 50;
+
+/// A reading of a worker's clock, with the times between which it was taken.
+#[derive(Clone, Copy, Debug)]
+struct ClockReading {
+    clock: WorkerClock,
+    /// When the call was sent that this reading answers. The clock was read after that.
+    sent_at: Millis,
+    at: Millis,
+}
+
+/// The clock in a worker's answer to an order, and when the order was sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClockSample {
+    pub(crate) clock: WorkerClock,
+    pub(crate) sent_at: Millis,
+}
+
+/// Whether two incarnations of one worker certainly differ. Returns false where either is unknown.
+pub(crate) fn certainly_differ(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
+    matches!((one, other), (Some(one), Some(other)) if one != other)
+}
+
+/// What this owner knows of one incarnation of a worker.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct IncarnationState {
+    /// The incarnation's identifier; `None` if the worker doesn't report it or has not answered
+    /// yet.
+    pub(crate) id: Option<WorkerLife>,
+    /// Whether it has answered under this owner's epoch.
+    pub(crate) fenced: bool,
+    reading: Option<ClockReading>,
+    /// The latest lease deadline that was sent to it, on its clock.
+    pub(crate) lease_deadline: WorkerClock,
+    /// The number of the newest end that was processed; end numbers increase.
+    pub(crate) noted: u64,
+    /// Ends up to this number are durable and may be acknowledged.
+    pub(crate) durable: u64,
+    /// Ends up to this number were acknowledged by a renewal that the worker answered.
+    pub(crate) acknowledged: u64,
+}
+
+impl IncarnationState {
+    /// An incarnation that has not answered yet.
+    pub(crate) fn new(id: Option<WorkerLife>) -> Self {
+        Self {
+            id,
+            ..Self::default()
+        }
+    }
+
+    /// Whether an incarnation with this identifier certainly differs from this one.
+    pub(crate) fn is_other(&self, id: Option<WorkerLife>) -> bool {
+        certainly_differ(self.id, id)
+    }
+
+    /// Records a reading of the worker's clock. A reading older than the newest one is ignored.
+    pub(crate) fn note_clock(&mut self, now: Millis, sample: ClockSample) {
+        let ClockSample { clock, sent_at } = sample;
+        if self.reading.is_none_or(|known| clock >= known.clock) {
+            self.reading = Some(ClockReading {
+                clock,
+                sent_at,
+                at: now,
+            });
+        }
+    }
+
+    /// Whether this incarnation answered an order, judged by the clock in the answer: answers to
+    /// orders don't carry the incarnation.
+    ///
+    /// The clock of one incarnation advances from its newest reading at its own rate. The clock of
+    /// a later incarnation began after that reading, at zero or at an arbitrary value. So a clock
+    /// within the expected range belongs to this incarnation, unless this incarnation was younger
+    /// than the time that the order and its answer took.
+    pub(crate) fn has_answered(&self, now: Millis, sample: ClockSample) -> bool {
+        let Some(reading) = self.reading else {
+            return true;
+        };
+        let before = reading.at.saturating_sub(sample.sent_at);
+        let least = reading.clock.saturating_sub(before + CLOCK_SLACK_MS);
+        let most = reading.clock + now.saturating_sub(reading.sent_at) + CLOCK_SLACK_MS;
+        (least..=most).contains(&sample.clock)
+    }
+
+    /// The newest reading of the worker's clock.
+    pub(crate) fn newest_clock(&self) -> Option<WorkerClock> {
+        Some(self.reading?.clock)
+    }
+
+    /// The estimated clock of the worker at `now`; `None` before the first reading.
+    pub(crate) fn clock(&self, now: Millis) -> Option<WorkerClock> {
+        let reading = self.reading?;
+        Some(reading.clock + now.saturating_sub(reading.at))
+    }
+
+    /// The lowest value that the worker's clock can show at `now`, at the slowest rate that is
+    /// allowed.
+    fn lowest_clock(&self, now: Millis) -> Option<WorkerClock> {
+        let reading = self.reading?;
+        let passed = now.saturating_sub(reading.at) * SLOWEST_CLOCK_PERCENT / 100;
+        Some(reading.clock + passed)
+    }
+
+    /// The time from which every lease granted to this incarnation has certainly expired, unless it
+    /// is renewed; `None` before it has answered.
+    pub(crate) fn lease_expires_at(&self) -> Option<Millis> {
+        let reading = self.reading?;
+        let left = (self.lease_deadline + 1).saturating_sub(reading.clock);
+        Some(reading.at + (left * 100).div_ceil(SLOWEST_CLOCK_PERCENT))
+    }
+
+    /// Whether every lease granted to this incarnation has certainly expired.
+    pub(crate) fn lease_has_expired(&self, now: Millis) -> bool {
+        self.lowest_clock(now)
+            .is_some_and(|clock| clock > self.lease_deadline)
+    }
+
+    /// Whether ends were processed that are not durable yet.
+    pub(crate) fn has_unwritten(&self) -> bool {
+        self.noted > self.durable
+    }
+}
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -5,10 +5,10 @@
 
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
-use crate::foreign::ForeignSight;
+use crate::foreign::ForeignReport;
 use crate::ids::{JobNumber, RunKey, WorkerLife};
+use crate::incarnation::IncarnationState;
 use crate::job::{objective_ms, JobState, TaskStage};
-use crate::life::LifeState;
 use crate::limits::{LIST_GAP_MS, RELIST_MS};
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::progress::ProgressRow;
@@ -60,11 +60,13 @@
             job.add_due_repetitions(self.wall_ms);
         }
         self.jobs.insert(number, job);
-        self.note_awaited_crashes(now, number);
-        for (worker, sight) in self.foreign.take(number) {
-            match sight {
-                ForeignSight::AtWork(clock, run) => self.take_running(now, &worker, clock, run),
-                ForeignSight::Ended(end) => self.take_end(now, &worker, end),
+        self.note_pending_crashes(now, number);
+        for (worker, report) in self.foreign.take_reports_of(number) {
+            match report {
+                ForeignReport::Running(clock, run) => {
+                    self.handle_running_report(now, &worker, clock, run)
+                }
+                ForeignReport::Ended(end) => self.handle_end(now, &worker, end),
             }
         }
         self.open_job_steps(now, number);
@@ -96,7 +98,7 @@
     pub(crate) fn open_job_steps(&mut self, now: Millis, number: JobNumber) {
         let recovery = self.recovery.as_ref();
         let unsettled = recovery.is_some();
-        let fresh = recovery.is_some_and(|recovery| now < recovery.fresh_until);
+        let fresh = recovery.is_some_and(|recovery| now < recovery.new_jobs_wait_until);
         let wall_ms = self.wall_ms;
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -177,12 +179,12 @@
             capacity: ResourceSize::default(),
             draining: false,
         };
-        let mark = self.marks.of(&worker);
-        let mut state = WorkerState::new(entry, now, mark);
-        state.life = LifeState::new(life);
+        let silence_record = self.silence_records.state_of(&worker);
+        let mut state = WorkerState::new(entry, now, silence_record);
+        state.incarnation = IncarnationState::new(life);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
-        self.hold_at(&worker, now);
+        self.schedule_renewal(&worker, now);
         self.roster.insert(worker.clone());
         if let Some(recovery) = &mut self.recovery {
             recovery.unanswered.insert(worker, recovery.until);
@@ -250,24 +252,24 @@
             self.lose_worker(now, &worker, LossCause::Replaced);
         }
         let draining = entry.draining;
-        let mark = self.marks.of(&id);
+        let silence_record = self.silence_records.state_of(&id);
         let state = self
             .workers
             .entry(id.clone())
-            .or_insert_with(|| WorkerState::new(entry.clone(), now, mark));
+            .or_insert_with(|| WorkerState::new(entry.clone(), now, silence_record));
         state.listed = true;
         state.missing = false;
         state.evacuated = self.evacuated.contains(&entry.hall);
         let leaves_now = draining && !state.entry.draining;
         state.entry = entry;
-        if state.is_unshown() && state.entry.life > state.life.name {
+        if state.entry_incarnation_differs() && state.entry.life > state.incarnation.id {
             // It has started again, and no hold has told so yet.
             state.unsure = true;
         }
         if !known {
             self.roster_changed |= self.roster.insert(id.clone());
             self.worker_order = None;
-            self.hold_queue.insert((now, id.clone()));
+            self.renewal_queue.insert((now, id.clone()));
         }
         if !known
             && self
@@ -299,7 +301,7 @@
         for (id, worker) in self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.entry.draining && !worker.is_unshown())
+            .filter(|(_, worker)| worker.entry.draining && !worker.entry_incarnation_differs())
         {
             let standing = worker.runs.iter();
             let standing = standing.filter(|(_, run)| run.standing && !run.phase.is_stopping());
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -23,7 +23,7 @@
         let pause = self.backlog.pass_pause_ms(self.waiting.len());
         let paused = self.pass_left_tasks && now < self.last_pass + pause;
         let max_unanswered_starts = self.backlog.max_unanswered_starts();
-        if self.may_be_followed(now) || paused || self.unanswered_starts >= max_unanswered_starts {
+        if self.may_be_succeeded(now) || paused || self.unanswered_starts >= max_unanswered_starts {
             return;
         }
         if !std::mem::take(&mut self.room_changed) || self.waiting.is_empty() {
@@ -135,7 +135,7 @@
             None if candidate.caution != StartCaution::Usual => {
                 let reserved = self.choose_reserved(now, &candidate);
                 if let Some(worker) = reserved {
-                    self.keep_worker(now, worker, key);
+                    self.reserve_worker(now, worker, key);
                 }
             }
             None => memo.record_failed(&key, service, step, starving),
@@ -236,7 +236,7 @@
             return 0.0;
         }
         let crashed_recently = self.crashes.crashed_lately(now, &worker.entry.address);
-        let ambiguous = crashed_recently || self.has_suspect(worker);
+        let ambiguous = crashed_recently || self.runs_suspect(worker);
         let runs = worker.runs.len() as f64 * LOST_RUN_COST;
         match ambiguous {
             true => runs + AMBIGUOUS_CRASH_COST,
@@ -246,7 +246,7 @@
 
     /// Chooses a worker to reserve for a task that has to run alone and for which no worker without other runs was found.
     fn choose_reserved(&self, now: Millis, candidate: &Candidate<'_>) -> Option<WorkerId> {
-        if candidate.caution != StartCaution::Alone || !self.may_keep_for(&candidate.key) {
+        if candidate.caution != StartCaution::Alone || !self.may_reserve_for(&candidate.key) {
             return None;
         }
         let apart = Candidate {
@@ -277,10 +277,10 @@
         if !worker.is_open(now) || worker.entry.service != candidate.service || !labelled {
             return false;
         }
-        if !self.crashes.lets_start(id, &candidate.key) {
+        if !self.crashes.allows_start(id, &candidate.key) {
             return false;
         }
-        if candidate.caution == StartCaution::Alone && !self.unproven_runs(worker).is_empty() {
+        if candidate.caution == StartCaution::Alone && !self.uncleared_runs(worker).is_empty() {
             return false;
         }
         let rack = worker.entry.rack.as_deref();
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -1,122 +1,136 @@
-//! Workers that start again under the name that they had.
+//! Handles workers that restart under the same name.
 //!
-//! A worker in a new life holds and knows nothing of before. What it reported in the life before is over, as with a worker whose place another
-//! has taken. Only an order whose answer never came may yet be carried out by the new life, since orders name the worker and not its life: such
-//! a run is settled anew there.
+//! A new incarnation of a worker holds nothing of the previous one and knows nothing about it.
+//! Every run that the previous incarnation reported is over, as when a worker is replaced by
+//! another one. An order that was never answered may still be carried out by the new incarnation,
+//! since orders name the worker but not its incarnation: such a run is settled there anew.
 
 use std::collections::BTreeSet;
 
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::ids::RunKey;
-use crate::life::LifeState;
+use crate::incarnation::IncarnationState;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::HoldReport;
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 
-/// A start that no life of its worker has answered may be carried out as long as the present one lives: its deadline counts on the clock of
-/// the life that it was meant for.
-const NO_DEADLINE: u64 = u64::MAX;
+/// The deadline of a start that no incarnation of its worker has answered. The order's own deadline
+/// is on the clock of the previous incarnation, so the new one may carry the order out at any time.
+const NO_START_DEADLINE: u64 = u64::MAX;
 
 impl JobScheduler {
-    /// Takes in which life of a worker a report is of. The first one that says so gives the life its name; a report of another life
-    /// begins that.
-    pub(crate) fn take_life(
+    /// Checks which incarnation of a worker sent a report. The first report that contains an
+    /// incarnation sets it; a report of another one begins a new incarnation.
+    pub(crate) fn update_incarnation(
         &mut self,
         now: Millis,
         worker: &WorkerId,
-        asked: Millis,
+        sent_at: Millis,
         report: &HoldReport,
     ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        if state.life.is_other(report.life) {
-            self.begin_life(now, worker, asked, report);
-        } else if state.life.name.is_none() && report.life.is_some() {
-            state.life.name = report.life;
+        if state.incarnation.is_other(report.life) {
+            self.begin_incarnation(now, worker, sent_at, report);
+        } else if state.incarnation.id.is_none() && report.life.is_some() {
+            state.incarnation.id = report.life;
             self.roster_changed |= self.roster.contains(worker);
         }
     }
 
-    /// A worker has started again: gives up what ended with the life before, and goes on with what the new one may hold.
+    /// Handles a restart of a worker: gives up the runs of the previous incarnation, and keeps
+    /// those that the new one may hold.
     ///
-    /// What the report lists is at work there. What the life before had answered for, by a look or before the look went out that this report
-    /// answers, has ended with it; anything else may be at work in the new life, or be begun there.
-    fn begin_life(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: &HoldReport) {
+    /// Runs that the report lists are running there. Runs that the previous incarnation confirmed,
+    /// in a report or in an answer that came before the renewal that this report answers was sent,
+    /// have ended with it. Any other run may be running in the new incarnation, or may yet be started
+    /// there.
+    fn begin_incarnation(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sent_at: Millis,
+        report: &HoldReport,
+    ) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
         self.note(JobNote::AnotherLife {
             worker: worker.clone(),
-            before: state.life.name,
+            before: state.incarnation.id,
             life: report.life,
-            clock_before: state.life.read_clock(),
+            clock_before: state.incarnation.newest_clock(),
             clock: report.clock,
-            noted: state.life.noted,
+            noted: state.incarnation.noted,
             listed: report.ended.last().map_or(0, |end| end.number),
         });
         let listed = listed_runs(report);
-        let listed = self.take_runs(worker, |key, _| listed.contains(key));
-        let convicted = self.note_loss(now, worker, LossCause::Restarted);
-        let doubtful = self.take_runs(worker, |_, record| !record.would_be_listed(asked));
+        let listed = self.remove_runs_where(worker, |key, _| listed.contains(key));
+        let blamed = self.note_worker_loss(now, worker, LossCause::Restarted);
+        let unsettled =
+            self.remove_runs_where(worker, |_, record| !record.would_be_listed(sent_at));
         self.lose_runs(now, worker, LossCause::Restarted);
-        self.foreign.forget_work(worker);
+        self.foreign.forget_running(worker);
         self.quarantine.forget(worker);
         self.roster_changed |= self.roster.contains(worker);
         if let Some(recovery) = &mut self.recovery {
-            recovery.lost_some |= recovery.unanswered.contains_key(worker);
+            recovery.worker_lost |= recovery.unanswered.contains_key(worker);
         }
         if let Some(state) = self.workers.get_mut(worker) {
-            let reached = state.hold_prolongs || !listed.is_empty() || !doubtful.is_empty();
-            // An order that was meant for the life before leases by that one's clock, at most for as long as the worker allows.
+            let may_be_leased =
+                state.renewal_extends_lease || !listed.is_empty() || !unsettled.is_empty();
+            // The deadline in an order that was meant for the previous incarnation is on the clock
+            // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
-            let granted = longest.min(state.life.granted);
-            state.life = LifeState::new(report.life);
-            state.life.granted = if reached { granted } else { 0 };
+            let lease_deadline = longest.min(state.incarnation.lease_deadline);
+            state.incarnation = IncarnationState::new(report.life);
+            state.incarnation.lease_deadline = if may_be_leased { lease_deadline } else { 0 };
             state.paused_until = now;
         }
         for (key, record) in listed {
-            self.keep_run(now, worker, key, RunPhase::Unsettled, record);
+            self.carry_over_run(now, worker, key, RunPhase::Unsettled, record);
         }
-        for (key, record) in doubtful {
+        for (key, record) in unsettled {
             let phase = match (record.phase, record.answered_at) {
-                (RunPhase::Elsewhere(answered), _) => RunPhase::Elsewhere(answered),
-                (RunPhase::Running(_), Some(answered)) => RunPhase::Elsewhere(answered),
+                (RunPhase::OtherIncarnation(answered), _) => RunPhase::OtherIncarnation(answered),
+                (RunPhase::Running(_), Some(answered)) => RunPhase::OtherIncarnation(answered),
                 _ => RunPhase::Unsettled,
             };
-            self.keep_run(now, worker, key, phase, record);
+            self.carry_over_run(now, worker, key, phase, record);
             if phase == RunPhase::Unsettled {
                 self.stop_run(now, worker, key, StopCause::Unsettled);
             }
         }
-        if let Some(task) = convicted {
+        if let Some(task) = blamed {
             self.give_up_task(now, task);
         }
         self.room_changed = true;
     }
 
-    /// Takes out the runs of a worker of which something holds.
-    fn take_runs(
+    /// Removes and returns the runs of a worker for which a condition holds.
+    fn remove_runs_where(
         &mut self,
         worker: &WorkerId,
-        holds: impl Fn(&RunKey, &RunRecord) -> bool,
+        condition: impl Fn(&RunKey, &RunRecord) -> bool,
     ) -> Vec<(RunKey, RunRecord)> {
         let Some(state) = self.workers.get_mut(worker) else {
             return Vec::new();
         };
         let runs = state.runs.iter();
-        let runs = runs.filter(|(key, record)| holds(key, record));
+        let runs = runs.filter(|(key, record)| condition(key, record));
         let keys: Vec<RunKey> = runs.map(|(key, _)| *key).collect();
-        let taken = keys.into_iter();
-        taken
+        let removed = keys.into_iter();
+        removed
             .filter_map(|key| Some((key, state.remove_run(&key)?)))
             .collect()
     }
 
-    /// Goes on with a run in the new life; one that was to stop is told so anew.
-    fn keep_run(
+    /// Keeps a run for the new incarnation. If the run was being stopped, the stop order is sent
+    /// again.
+    fn carry_over_run(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -130,7 +144,7 @@
             began: None,
             listed: false,
             answered_at: None,
-            start_deadline: NO_DEADLINE,
+            start_deadline: NO_START_DEADLINE,
             ..record
         };
         if let Some(state) = self.workers.get_mut(worker) {
@@ -142,7 +156,7 @@
     }
 }
 
-/// The runs that a report lists, at work or ended.
+/// The runs that a report lists as running or ended.
 fn listed_runs(report: &HoldReport) -> BTreeSet<RunKey> {
     let running = report.running.iter().map(|run| run.key);
     let ended = report.ended.iter().map(|end| end.key);
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -8,7 +8,7 @@
 
 use crate::backlog::BacklogMonitor;
 use crate::capacity::EndedJobSizes;
-use crate::crash::CrashBook;
+use crate::crash::CrashTracker;
 use crate::events::{JobAction, JobEvent, WorkerCall};
 use crate::foreign::ForeignRuns;
 use crate::halls::EvacuatedHalls;
@@ -24,9 +24,9 @@
 use crate::note::JobNote;
 use crate::progress::ProgressRow;
 use crate::rank::FailedPlacements;
-use crate::silent::{MarkBook, StoreClock};
+use crate::silent::{SilenceRecords, StoreClock};
 use crate::spec::{JobSpec, QueueRules};
-use crate::takeover::{Recovery, TakeoverInfo, FIRST_EPOCH};
+use crate::takeover::{RecoveryState, TakeoverInfo, FIRST_EPOCH};
 use crate::worker::WorkerState;
 
 /// Each owner numbers its runs from its epoch times this, so that numbers rise over owners that know nothing of each other.
@@ -93,13 +93,13 @@
     pub(crate) pending_at: Millis,
     pub(crate) roster: BTreeSet<WorkerId>,
     pub(crate) roster_changed: bool,
-    pub(crate) roster_looked: Millis,
+    pub(crate) roster_checked_at: Millis,
     /// Stops that were sent, with when each is looked at again.
     pub(crate) stop_queue: VecDeque<(Millis, WorkerId, RunKey)>,
     /// The workers in their order, until one comes or goes.
     pub(crate) worker_order: Option<Arc<[WorkerId]>>,
     /// When the next hold of each worker is due; entries of workers that are held or gone by then are passed over.
-    pub(crate) hold_queue: BTreeSet<(Millis, WorkerId)>,
+    pub(crate) renewal_queue: BTreeSet<(Millis, WorkerId)>,
     /// Whether ends were taken in that no write was asked for yet.
     pub(crate) unacknowledged: bool,
     /// How long the leases are at most that workers hold, as a successor is told.
@@ -111,13 +111,13 @@
     /// Whether a successor is told of leases as long as this owner's; before that none is longer than an earlier owner's.
     pub(crate) lease_published: bool,
     pub(crate) store_clock: StoreClock,
-    pub(crate) marks: MarkBook,
-    pub(crate) recovery: Option<Recovery>,
+    pub(crate) silence_records: SilenceRecords,
+    pub(crate) recovery: Option<RecoveryState>,
     pub(crate) began_at: Millis,
     pub(crate) foreign: ForeignRuns,
     pub(crate) ended_job_sizes: EndedJobSizes,
     pub(crate) quarantine: QuarantineTracker,
-    pub(crate) crashes: CrashBook,
+    pub(crate) crashes: CrashTracker,
     pub(crate) images: ImageTable,
     pub(crate) interference: InterferenceEstimate,
     pub(crate) load_history: LoadHistory,
@@ -177,10 +177,10 @@
             pending_at: info.claimed_at,
             roster: BTreeSet::new(),
             roster_changed: false,
-            roster_looked: 0,
+            roster_checked_at: 0,
             stop_queue: VecDeque::new(),
             worker_order: None,
-            hold_queue: BTreeSet::new(),
+            renewal_queue: BTreeSet::new(),
             unacknowledged: false,
             // Until nothing of an earlier owner's can be at work, workers may hold its leases, also those that have answered: a
             // lease never becomes shorter.
@@ -189,19 +189,19 @@
             inherited_until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
             lease_published: info.epoch == FIRST_EPOCH || inherited_lease_ms >= own_lease_ms,
             store_clock: StoreClock::default(),
-            marks: MarkBook::default(),
+            silence_records: SilenceRecords::default(),
             began_at: info.claimed_at,
             foreign: ForeignRuns::default(),
             ended_job_sizes: EndedJobSizes::default(),
-            recovery: Some(Recovery {
+            recovery: Some(RecoveryState {
                 unanswered: BTreeMap::new(),
                 until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
-                fresh_until: info.claimed_at + FRESH_JOB_WAIT_MS,
+                new_jobs_wait_until: info.claimed_at + FRESH_JOB_WAIT_MS,
                 listed: false,
-                lost_some: false,
+                worker_lost: false,
             }),
             quarantine: QuarantineTracker::with_rule(QUARANTINE),
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             images: ImageTable::default(),
             interference: InterferenceEstimate::default(),
             load_history: LoadHistory::default(),
@@ -228,7 +228,7 @@
             scheduler.expect_worker(info.claimed_at, worker, address, life);
         }
         if info.rules_since > 0 && info.silent.epoch >= info.rules_since {
-            scheduler.take_over_marks(info.claimed_at, info.store_ms, info.silent);
+            scheduler.inherit_silence_records(info.claimed_at, info.store_ms, info.silent);
         }
         // The row that is found speaks for its own writer.
         scheduler.roster_changed = true;
@@ -266,7 +266,7 @@
             return vec![JobAction::Deposed];
         }
         self.place_waiting(now);
-        self.send_holds(now);
+        self.send_renewals(now);
         self.begin_commit(now);
         std::mem::take(&mut self.out)
     }
@@ -290,17 +290,19 @@
             JobEvent::HallsEvacuated(halls) => self.apply_evacuated_halls(now, halls),
             JobEvent::StartAnswered(worker, key, answer) => {
                 self.unanswered_starts = self.unanswered_starts.saturating_sub(1);
-                self.take_start_answer(now, &worker, key, answer);
+                self.handle_start_answer(now, &worker, key, answer);
             }
             JobEvent::StopAnswered(worker, key, answer) => {
-                self.take_stop_answer(now, &worker, key, answer);
+                self.handle_stop_answer(now, &worker, key, answer);
             }
             JobEvent::PaceAnswered(worker, key, answer) => {
                 self.handle_pace_answer(now, &worker, key, answer);
             }
-            JobEvent::HoldAnswered(worker, answer) => self.take_hold(now, &worker, answer),
-            JobEvent::Committed(id) => self.take_commit(now, id),
-            JobEvent::SureUntil(until) => self.take_tenure(now, until),
+            JobEvent::HoldAnswered(worker, answer) => {
+                self.handle_renewal_answer(now, &worker, answer)
+            }
+            JobEvent::Committed(id) => self.handle_commit(now, id),
+            JobEvent::SureUntil(until) => self.handle_tenure(now, until),
             JobEvent::Tick { wall_ms } => self.tick(now, wall_ms),
         }
     }
@@ -312,17 +314,17 @@
                 .record_tick(now, now.saturating_sub(self.last_tick));
         }
         self.last_tick = now;
-        self.look_at_tenure(now);
+        self.check_tenure(now);
         self.open_due_times(now);
         self.release_delayed(now);
         self.check_recovery(now);
-        self.note_own_leases(now);
-        let sure = !self.may_be_followed(now);
+        self.publish_own_lease(now);
+        let sure = !self.may_be_succeeded(now);
         if sure && now >= self.workers_looked + WORKER_LOOK_MS {
             self.workers_looked = now;
             self.check_workers(now);
             self.move_standing_tasks(now);
-            self.free_kept(now);
+            self.release_reserved(now);
         }
         self.refresh_roster(now);
         self.forget_ended_sizes(now);
