--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -204,20 +204,20 @@
     rig.run_until(40_000);
     let after = resident_bytes();
     let (messages, writes) = (rig.owner.counts().messages, rig.store.table.commits);
-    let placed = rig.owner.book().stats.placed;
+    let placed = rig.owner.state().stats.placed;
     (rig.worker_bytes, rig.store_bytes, rig.owner_ns) = (0, 0, 0);
     let from = rig.now;
     rig.run_until(from + STEADY_MS);
     let seconds = (rig.now - from) as f64 / 1_000.0;
     let tasks: usize = rig
         .owner
-        .book()
+        .state()
         .jobs
         .values()
         .map(|job| job.tasks.len())
         .sum();
-    let snapshot = encode_snapshot(rig.owner.book());
-    let starts = rig.owner.book().stats.placed - placed;
+    let snapshot = encode_snapshot(rig.owner.state());
+    let starts = rig.owner.state().stats.placed - placed;
     let steady_ns = rig.owner_ns;
     let counts = *rig.owner.counts();
     let (worker_bytes, store_bytes, commits) =
--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -4,7 +4,6 @@
 
 use sandshelf_model::{content_digest, AttemptId, JobId, Millis, Sequence, TaskId, WorkerId};
 
-use crate::book::{RecordEffect, TaskBook, TaskStage};
 use crate::events::{ShardAction, ShardNote};
 use crate::journal::{CommitAnswer, CommitRequest, JournalRecord};
 use crate::orders::StartOrder;
@@ -12,6 +11,7 @@
 use crate::ownership::LeaseStage;
 use crate::recovery::{decode_snapshot, encode_snapshot};
 use crate::row::{RowVersion, ShardRow, StoredRow};
+use crate::state::{RecordEffect, ShardState, TaskStage};
 
 /// The most records in one transaction.
 const MOST_RECORDS: usize = 2_000;
@@ -221,7 +221,7 @@
             // A job that is declared anew may wait in another list from now on.
             self.unqueue_job(&job.name);
         }
-        let effect = self.book.apply(record);
+        let effect = self.state.apply(record);
         match record {
             JournalRecord::Placed { attempt, worker } => match effect {
                 RecordEffect::Applied => self.after_placed(now, attempt, worker),
@@ -274,7 +274,7 @@
         self.note(ShardNote::Placed(attempt.clone(), worker.clone(), waited));
         let order = self.start_order(attempt);
         let Some(order) = order else { return };
-        let spec = self.book.spec(&attempt.task.job);
+        let spec = self.state.spec(&attempt.task.job);
         let run_ms = spec.map_or(order.run_ms, |spec| {
             self.families.run_time(&spec.family, spec.run_ms)
         });
@@ -285,14 +285,14 @@
     }
 
     fn start_order(&self, attempt: &AttemptId) -> Option<StartOrder> {
-        let spec = self.book.spec(&attempt.task.job)?;
-        let cell = self.book.cell(&attempt.task)?;
+        let spec = self.state.spec(&attempt.task.job)?;
+        let task_state = self.state.task_state(&attempt.task)?;
         let size = self.held.get(attempt).map_or(spec.size, |held| held.size);
         Some(StartOrder {
             attempt: attempt.clone(),
             size,
             program: spec.program.clone(),
-            checkpoint: cell.checkpoint.clone(),
+            checkpoint: task_state.checkpoint.clone(),
             checkpointable: spec.checkpoint,
             run_ms: spec.run_ms,
         })
@@ -304,7 +304,7 @@
         if busy || self.snapshot.records < self.times.records_per_snapshot {
             return;
         }
-        let bytes = encode_snapshot(&self.book);
+        let bytes = encode_snapshot(&self.state);
         let digest = content_digest(&bytes);
         self.snapshot.records = 0;
         self.snapshot.under_way = Some((digest.clone(), sequence));
@@ -323,43 +323,43 @@
         if *self.lease.stage() != LeaseStage::Recovering {
             return;
         }
-        let Ok(book) = decode_snapshot(snapshot, groups) else {
+        let Ok(state) = decode_snapshot(snapshot, groups) else {
             return;
         };
-        self.adopt_book(now, book);
+        self.adopt_state(now, state);
         self.lease.note_recovered();
-        let placed = self.book.placed_count();
+        let placed = self.state.placed_count();
         self.note(ShardNote::Recovered { placed });
     }
 
-    fn adopt_book(&mut self, now: Millis, book: TaskBook) {
-        self.book = book;
+    fn adopt_state(&mut self, now: Millis, state: ShardState) {
+        self.state = state;
         let entries: Vec<_> = self.listed.values().cloned().collect();
         for entry in entries {
             self.add_worker(&entry);
         }
-        let workers: Vec<_> = self.book.placed_workers().cloned().collect();
+        let workers: Vec<_> = self.state.placed_workers().cloned().collect();
         for worker in workers {
             self.add_contact(&worker);
-            let attempts: Vec<_> = self.book.placed_on(&worker).cloned().collect();
+            let attempts: Vec<_> = self.state.placed_on(&worker).cloned().collect();
             for attempt in attempts {
                 self.hold_recovered(&worker, &attempt);
             }
         }
-        let jobs: Vec<_> = self.book.jobs.keys().cloned().collect();
+        let jobs: Vec<_> = self.state.jobs.keys().cloned().collect();
         for job in jobs {
             self.enqueue_job(now, &job);
         }
     }
 
     pub(crate) fn enqueue_job(&mut self, now: Millis, job: &JobId) {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return;
         };
-        let waiting: Vec<u32> = book
+        let waiting: Vec<u32> = job_state
             .tasks
             .iter()
-            .filter(|(_, cell)| cell.stage == TaskStage::Waiting)
+            .filter(|(_, task_state)| task_state.stage == TaskStage::Waiting)
             .map(|(index, _)| *index)
             .collect();
         for index in waiting {
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -9,11 +9,11 @@
 };
 use sandshelf_place::{PlaceWeights, WorkerEntry, WorkerTenant};
 
-use crate::book::TaskStage;
 use crate::contact::WorkerContact;
 use crate::journal::{JournalRecord, TaskHandoff};
 use crate::owner::ShardOwner;
 use crate::ownership::LeaseStage;
+use crate::state::TaskStage;
 
 /// The shard that a task belongs to until it is handed off.
 pub fn home_shard<'a>(job: &JobId, index: u32, shards: &'a [ShardId]) -> Option<&'a ShardId> {
@@ -50,7 +50,7 @@
             return;
         };
         let buffered = self.buffer.iter().any(is_revised);
-        if revision <= self.book.revision || buffered || self.pending.is_some() {
+        if revision <= self.state.revision || buffered || self.pending.is_some() {
             return;
         }
         for spec in &set.jobs {
@@ -58,7 +58,7 @@
         }
         let declared: BTreeSet<&JobId> = set.jobs.iter().map(|spec| &spec.name).collect();
         let undeclared: Vec<JobId> = self
-            .book
+            .state
             .jobs
             .keys()
             .filter(|job| !declared.contains(job))
@@ -72,8 +72,8 @@
     }
 
     fn take_in_job(&mut self, spec: &JobSpec, shards: &[ShardId]) {
-        let known = self.book.jobs.get(&spec.name);
-        if known.is_some_and(|book| *book.spec == *spec) {
+        let known = self.state.jobs.get(&spec.name);
+        if known.is_some_and(|job_state| *job_state.spec == *spec) {
             return;
         }
         let own = |index: &u32| home_shard(&spec.name, *index, shards) == Some(&self.shard);
@@ -90,12 +90,12 @@
 
     /// Ends the tasks that a job which is declared anew no longer has.
     fn end_tasks_beyond(&mut self, spec: &JobSpec) {
-        let Some(book) = self.book.jobs.get(&spec.name) else {
+        let Some(job_state) = self.state.jobs.get(&spec.name) else {
             return;
         };
-        let beyond = book.tasks.range(spec.tasks..);
+        let beyond = job_state.tasks.range(spec.tasks..);
         let open: Vec<u32> = beyond
-            .filter(|(_, cell)| !cell.stage.is_over())
+            .filter(|(_, task_state)| !task_state.stage.is_over())
             .map(|(index, _)| *index)
             .collect();
         for index in open {
@@ -111,7 +111,11 @@
 
     /// Cancels what is left of a job that is no longer declared; forgets it where nothing is.
     fn retire_job(&mut self, job: &JobId) {
-        let over = self.book.jobs.get(job).is_some_and(|book| book.is_over());
+        let over = self
+            .state
+            .jobs
+            .get(job)
+            .is_some_and(|job_state| job_state.is_over());
         if !over {
             self.buffer
                 .push(JournalRecord::Cancelled { job: job.clone() });
@@ -127,7 +131,7 @@
         let known = self.config.as_ref().map_or(0, |(known, _, _)| *known);
         for handoff in handoffs {
             let task = handoff.task();
-            if handoff.revision > known.min(self.book.revision) {
+            if handoff.revision > known.min(self.state.revision) {
                 continue;
             }
             if !self.adopting.insert(task.clone()) {
@@ -226,10 +230,10 @@
     /// Puts a task in the queue.
     pub(crate) fn enqueue(&mut self, now: Millis, task: &TaskId) {
         let waits = self
-            .book
-            .cell(task)
-            .is_some_and(|cell| cell.stage == TaskStage::Waiting);
-        let Some(spec) = self.book.spec(&task.job).cloned() else {
+            .state
+            .task_state(task)
+            .is_some_and(|task_state| task_state.stage == TaskStage::Waiting);
+        let Some(spec) = self.state.spec(&task.job).cloned() else {
             return;
         };
         if !waits {
@@ -245,7 +249,7 @@
     pub(crate) fn unqueue(&mut self, task: &TaskId) {
         self.waiting.remove(task);
         self.waiting_since.remove(task);
-        if let Some(spec) = self.book.spec(&task.job).cloned() {
+        if let Some(spec) = self.state.spec(&task.job).cloned() {
             let key = self.pending_key(&spec);
             self.queue.remove(&key, task);
         }
@@ -253,10 +257,10 @@
 
     /// Takes every task of a job out of the queue.
     pub(crate) fn unqueue_job(&mut self, job: &JobId) {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return;
         };
-        let tasks: Vec<u32> = book.tasks.keys().copied().collect();
+        let tasks: Vec<u32> = job_state.tasks.keys().copied().collect();
         for index in tasks {
             let task = TaskId {
                 job: job.clone(),
@@ -276,20 +280,20 @@
     }
 
     fn placed_of(&self, job: &JobId, only: Option<u32>) -> Vec<(WorkerId, AttemptId)> {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return Vec::new();
         };
         let mut placed = Vec::new();
-        for (&index, cell) in &book.tasks {
+        for (&index, task_state) in &job_state.tasks {
             if only.is_some_and(|only| only != index) {
                 continue;
             }
-            if let TaskStage::Placed(worker) = &cell.stage {
+            if let TaskStage::Placed(worker) = &task_state.stage {
                 let task = TaskId {
                     job: job.clone(),
                     index,
                 };
-                let number = cell.attempts;
+                let number = task_state.attempts;
                 placed.push((worker.clone(), AttemptId { task, number }));
             }
         }
@@ -298,7 +302,7 @@
 
     /// Stops an attempt that its task no longer counts; its room stays held until the worker says that it ended.
     pub(crate) fn stop_if_moved_on(&mut self, worker: &WorkerId, attempt: &AttemptId) {
-        if self.book.current_worker(attempt).is_some() {
+        if self.state.current_worker(attempt).is_some() {
             return;
         }
         if let Some(contact) = self.contacts.get_mut(worker) {
--- a/crates/lease/src/journal.rs
+++ b/crates/lease/src/journal.rs
@@ -4,8 +4,8 @@
 use sandshelf_model::{AttemptId, JobId, Revision, Sequence, ShardId, TaskId, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::book::{RequeueCause, TaskCell};
 use crate::row::{RowVersion, ShardRow};
+use crate::state::{RequeueCause, TaskState};
 
 /// One durable fact about batch work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,7 +112,8 @@
     /// The task's position within the job.
     pub index: u32,
     /// The task as it was left.
-    pub cell: TaskCell,
+    #[serde(rename = "cell")]
+    pub state: TaskState,
     /// The configuration that the sender had taken in; the receiver waits until it has as new a one.
     pub revision: Revision,
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -22,7 +22,6 @@
 //! assert!(matches!(actions[0], ShardAction::ReadRow));
 //! ```
 
-mod book;
 mod commit;
 mod contact;
 mod events;
@@ -38,10 +37,10 @@
 mod reports;
 mod row;
 mod slices;
+mod state;
 mod times;
 mod window;
 
-pub use book::{BookStats, JobBook, RecordEffect, RequeueCause, TaskBook, TaskCell, TaskStage};
 pub use contact::WorkerContact;
 pub use events::{
     OwnerCounts, PlacedReason, ShardAction, ShardEvent, ShardNote, ShardRoom, WaitReason,
@@ -58,4 +57,7 @@
 pub use recovery::{decode_snapshot, encode_snapshot, SnapshotError};
 pub use row::{RowVersion, ShardRow, StoredRow};
 pub use slices::{QuotaRow, QuotaSlice, SliceKeeper, SlicePlan, SliceStep};
+pub use state::{
+    JobState, RecordEffect, RecordStats, RequeueCause, ShardState, TaskStage, TaskState,
+};
 pub use times::LeaseTimes;
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -19,7 +19,6 @@
     WorkerPool,
 };
 
-use crate::book::TaskBook;
 use crate::commit::{PendingCommit, SnapshotWork};
 use crate::contact::WorkerContact;
 use crate::events::{
@@ -27,6 +26,7 @@
 };
 use crate::journal::JournalRecord;
 use crate::ownership::{LeaseStage, ShardLease};
+use crate::state::ShardState;
 use crate::times::LeaseTimes;
 
 /// How often a watcher reads the row, as a part of the shard lease.
@@ -50,7 +50,7 @@
     pub(crate) times: LeaseTimes,
     pub(crate) lease: ShardLease,
     pub(crate) rank: Option<u32>,
-    pub(crate) book: TaskBook,
+    pub(crate) state: ShardState,
     pub(crate) pool: WorkerPool,
     pub(crate) queue: PendingQueue,
     pub(crate) quotas: QuotaLedger,
@@ -117,7 +117,7 @@
             host,
             times,
             rank: Some(0),
-            book: TaskBook::default(),
+            state: ShardState::default(),
             queue: PendingQueue::default(),
             quotas: QuotaLedger::default(),
             families: FamilyPrior::default(),
@@ -375,7 +375,7 @@
 
     /// Drops all that only an owner may keep.
     pub(crate) fn forget_ownership(&mut self) {
-        self.book = TaskBook::default();
+        self.state = ShardState::default();
         self.queue = PendingQueue::default();
         self.contacts.clear();
         self.buffer.clear();
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -9,7 +9,7 @@
 impl ShardOwner {
     /// Checks what must hold after each event; cheap enough to run always.
     pub(super) fn verify(&self) -> Result<(), String> {
-        if *self.lease.stage() != LeaseStage::Holding && self.book.placed_count() > 0 {
+        if *self.lease.stage() != LeaseStage::Holding && self.state.placed_count() > 0 {
             return Err("placed attempts without ownership".to_owned());
         }
         for action in &self.actions {
@@ -39,9 +39,9 @@
                 return Err(format!("worker {worker} is planned past its capacity"));
             }
         }
-        for (job, book) in &self.book.jobs {
-            for (index, cell) in &book.tasks {
-                if cell.evictions > cell.attempts {
+        for (job, job_state) in &self.state.jobs {
+            for (index, task_state) in &job_state.tasks {
+                if task_state.evictions > task_state.attempts {
                     return Err(format!("{job}/{index} was evicted more often than started"));
                 }
             }
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -6,11 +6,11 @@
 };
 
 use super::ShardOwner;
-use crate::book::TaskBook;
 use crate::contact::WorkerContact;
 use crate::events::{OwnerCounts, PlacedReason, ShardRoom, WaitReason};
 use crate::ownership::LeaseStage;
 use crate::row::StoredRow;
+use crate::state::ShardState;
 
 impl ShardOwner {
     /// The shard.
@@ -39,8 +39,8 @@
     }
 
     /// The durable state; empty where this host isn't the owner.
-    pub fn book(&self) -> &TaskBook {
-        &self.book
+    pub fn state(&self) -> &ShardState {
+        &self.state
     }
 
     /// The workers and what is reserved on them.
@@ -86,7 +86,7 @@
                 team: team.clone(),
             };
             for task in self.queue.tasks_after(&key, None, LOOKED_AT) {
-                let size = self.book.spec(&task.job).map(|spec| spec.size);
+                let size = self.state.spec(&task.job).map(|spec| spec.size);
                 wish = wish.plus(&size.unwrap_or_default()).unwrap_or(wish);
             }
         }
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -71,7 +71,7 @@
         *looks -= tasks.len();
         let mut window = FamilyWindow::default();
         for task in tasks {
-            if let Some(spec) = self.book.spec(&task.job) {
+            if let Some(spec) = self.state.spec(&task.job) {
                 window.push(&spec.family, task);
             }
         }
@@ -120,7 +120,7 @@
         let Some(task) = window.first(family) else {
             return f64::INFINITY;
         };
-        let Some(spec) = self.book.spec(&task.job).cloned() else {
+        let Some(spec) = self.state.spec(&task.job).cloned() else {
             return f64::INFINITY;
         };
         let need = TaskNeed::plain(spec.size, family);
@@ -138,7 +138,7 @@
         task: &TaskId,
         smallest: &mut Option<ResourceSize>,
     ) -> LookOutcome {
-        let Some(spec) = self.book.spec(&task.job).cloned() else {
+        let Some(spec) = self.state.spec(&task.job).cloned() else {
             return LookOutcome::Ended;
         };
         let size = self.families.reserve_size(&spec.family, &spec.size);
@@ -191,7 +191,10 @@
         size: ResourceSize,
         choice: PlaceChoice,
     ) -> bool {
-        let attempts = self.book.cell(task).map_or(0, |cell| cell.attempts);
+        let attempts = self
+            .state
+            .task_state(task)
+            .map_or(0, |task_state| task_state.attempts);
         let attempt = AttemptId {
             task: task.clone(),
             number: attempts + 1,
@@ -275,7 +278,7 @@
 
     /// Holds room for an attempt that an earlier owner placed.
     pub(crate) fn hold_recovered(&mut self, worker: &WorkerId, attempt: &AttemptId) {
-        let Some(spec) = self.book.spec(&attempt.task.job).cloned() else {
+        let Some(spec) = self.state.spec(&attempt.task.job).cloned() else {
             return;
         };
         self.pool
@@ -315,7 +318,7 @@
             return false;
         };
         let urgent = self
-            .book
+            .state
             .spec(&task.job)
             .is_some_and(|spec| self.pending_key(spec).urgent);
         let wait = if urgent {
@@ -323,27 +326,31 @@
         } else {
             HANDOFF_AFTER_MS
         };
-        let hops = self.book.cell(task).map_or(0, |cell| cell.hops).min(6);
+        let hops = self
+            .state
+            .task_state(task)
+            .map_or(0, |task_state| task_state.hops)
+            .min(6);
         now >= since + (wait << hops)
     }
 
     fn hand_off(&mut self, task: &TaskId) {
-        let Some(spec) = self.book.spec(&task.job).cloned() else {
+        let Some(spec) = self.state.spec(&task.job).cloned() else {
             return;
         };
         let urgent = spec.urgency == UrgencyLevel::Urgent;
         let Some(to) = self.shard_for(&spec.size, urgent) else {
             return;
         };
-        let Some(mut cell) = self.book.cell(task).cloned() else {
+        let Some(mut state) = self.state.task_state(task).cloned() else {
             return;
         };
-        cell.hops += 1;
+        state.hops += 1;
         let handoff = TaskHandoff {
             job: (*spec).clone(),
             index: task.index,
-            cell,
-            revision: self.book.revision,
+            state,
+            revision: self.state.revision,
         };
         self.placing.insert(task.clone());
         self.buffer.push(JournalRecord::HandedOff {
@@ -383,10 +390,10 @@
 
     /// Evicts an attempt that runs and can be resumed or run again.
     pub(crate) fn evict_asked(&mut self, attempt: &AttemptId) {
-        let Some(worker) = self.book.current_worker(attempt).cloned() else {
+        let Some(worker) = self.state.current_worker(attempt).cloned() else {
             return;
         };
-        let spec = self.book.spec(&attempt.task.job);
+        let spec = self.state.spec(&attempt.task.job);
         let allowed = spec.is_some_and(|spec| spec.checkpoint || spec.repeatable);
         if let Some(contact) = self.contacts.get_mut(&worker) {
             if allowed && contact.confirmed.contains(attempt) {
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -4,8 +4,8 @@
 
 use sandshelf_model::Sequence;
 
-use crate::book::TaskBook;
 use crate::journal::JournalRecord;
+use crate::state::ShardState;
 
 /// Says why a snapshot can't be used.
 #[derive(Debug)]
@@ -20,27 +20,27 @@
 impl std::error::Error for SnapshotError {}
 
 /// Writes a snapshot's bytes.
-pub fn encode_snapshot(book: &TaskBook) -> Vec<u8> {
-    serde_json::to_vec(book).expect("a book of plain values always serializes")
+pub fn encode_snapshot(state: &ShardState) -> Vec<u8> {
+    serde_json::to_vec(state).expect("a state of plain values always serializes")
 }
 
-/// Reads a snapshot and the journal groups after it back into a book.
+/// Reads a snapshot and the journal groups after it back into a state.
 ///
 /// # Errors
-/// The snapshot's bytes are not a book.
+/// The snapshot's bytes are not a state.
 pub fn decode_snapshot(
     snapshot: Option<&[u8]>,
     groups: &[(Sequence, Vec<JournalRecord>)],
-) -> Result<TaskBook, SnapshotError> {
-    let mut book = match snapshot {
+) -> Result<ShardState, SnapshotError> {
+    let mut state = match snapshot {
         Some(bytes) => serde_json::from_slice(bytes).map_err(SnapshotError)?,
-        None => TaskBook::default(),
+        None => ShardState::default(),
     };
-    book.reindex();
+    state.reindex();
     for (_, records) in groups {
         for record in records {
-            book.apply(record);
+            state.apply(record);
         }
     }
-    Ok(book)
+    Ok(state)
 }
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -4,12 +4,12 @@
 
 use sandshelf_model::{AttemptId, Epoch, Millis, WorkerId};
 
-use crate::book::{RecordEffect, RequeueCause, TaskStage};
 use crate::events::ShardNote;
 use crate::journal::JournalRecord;
 use crate::orders::{AttemptPhase, AttemptReport, OrderRefusal, WorkerReport};
 use crate::owner::ShardOwner;
 use crate::placing::tenant_of;
+use crate::state::{RecordEffect, RequeueCause, TaskStage};
 
 /// A task that failed by itself so often is given up.
 const MOST_FAILURES: u32 = 3;
@@ -111,7 +111,7 @@
 
     fn take_attempt(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        let current = self.book.current_worker(attempt) == Some(worker);
+        let current = self.state.current_worker(attempt) == Some(worker);
         match &report.phase {
             AttemptPhase::Running if current => self.note_running(now, worker, report),
             AttemptPhase::Running => self.stop_stray(worker, report),
@@ -129,7 +129,7 @@
     }
 
     fn note_running(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
-        let Some(spec) = self.book.spec(&report.attempt.task.job).cloned() else {
+        let Some(spec) = self.state.spec(&report.attempt.task.job).cloned() else {
             return;
         };
         self.families.note_usage(&spec.family, &report.usage);
@@ -183,12 +183,16 @@
     /// Lets the worker forget the end of an attempt that no longer counts.
     fn end_stray(&mut self, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        let counted = self.book.cell(&attempt.task).is_some_and(|cell| {
-            cell.attempts == attempt.number && matches!(cell.stage, TaskStage::Finished(_))
-        });
+        let counted = self
+            .state
+            .task_state(&attempt.task)
+            .is_some_and(|task_state| {
+                task_state.attempts == attempt.number
+                    && matches!(task_state.stage, TaskStage::Finished(_))
+            });
         let late = matches!(report.phase, AttemptPhase::Finished(_)) && !counted;
         if late && !self.ending.contains(attempt) {
-            self.book.stats.late_finishes += 1;
+            self.state.stats.late_finishes += 1;
         }
         self.drop_hold(attempt);
         self.pool.release(worker, attempt);
@@ -199,7 +203,7 @@
 
     fn finish(&mut self, worker: &WorkerId, report: &AttemptReport, output: &str) {
         let attempt = &report.attempt;
-        if self.book.is_watch(&attempt.task.job) {
+        if self.state.is_watch(&attempt.task.job) {
             self.requeue(attempt, RequeueCause::WatchEnded, None);
             return;
         }
@@ -207,7 +211,7 @@
             return;
         }
         self.pool.quarantine.note_success(worker);
-        if let Some(spec) = self.book.spec(&attempt.task.job) {
+        if let Some(spec) = self.state.spec(&attempt.task.job) {
             self.families.note_finish(&spec.family, report.ran_ms);
         }
         self.buffer.push(JournalRecord::Finished {
@@ -226,10 +230,14 @@
             self.note(ShardNote::Quarantined(worker.clone()));
         }
         let repeatable = self
-            .book
+            .state
             .spec(&task.job)
             .is_some_and(|spec| spec.repeatable);
-        let failures = self.book.cell(task).map_or(0, |cell| cell.failures) + 1;
+        let failures = self
+            .state
+            .task_state(task)
+            .map_or(0, |task_state| task_state.failures)
+            + 1;
         if !repeatable {
             self.give_up(attempt, "it failed and may not be run again");
         } else if failures >= MOST_FAILURES && !closed {
@@ -257,7 +265,7 @@
     fn requeue_stopped(&mut self, worker: &WorkerId, attempt: &AttemptId) {
         let contact = self.contacts.get(worker);
         let evicted = contact.is_some_and(|contact| contact.evicting.contains(attempt));
-        let spec = self.book.spec(&attempt.task.job);
+        let spec = self.state.spec(&attempt.task.job);
         let repeatable = spec.is_some_and(|spec| spec.repeatable || spec.checkpoint);
         if !repeatable {
             self.give_up(attempt, "it was cut off and may not be run again");
@@ -290,7 +298,7 @@
         if !self.ending.insert(attempt.clone()) {
             return false;
         }
-        let worker = self.book.current_worker(attempt);
+        let worker = self.state.current_worker(attempt);
         if let Some(contact) = worker.and_then(|worker| self.contacts.get_mut(worker)) {
             contact.drop_start(attempt);
         }
@@ -302,7 +310,7 @@
         let listed: BTreeSet<&AttemptId> =
             report.attempts.iter().map(|entry| &entry.attempt).collect();
         let missing: Vec<AttemptId> = self
-            .book
+            .state
             .placed_on(worker)
             .filter(|attempt| !listed.contains(attempt))
             .filter(|attempt| !self.starts_soon(worker, attempt))
@@ -333,7 +341,7 @@
                     .any(|entry| &entry.attempt == *attempt)
             })
             .filter(|attempt| !self.placing.contains(&attempt.task))
-            .filter(|attempt| self.book.current_worker(attempt).is_none())
+            .filter(|attempt| self.state.current_worker(attempt).is_none())
             .filter(|attempt| !self.starts_soon(worker, attempt))
             .cloned()
             .collect();
@@ -358,9 +366,9 @@
 
     fn retire_worker(&mut self, worker: &WorkerId, gone: bool) {
         self.pool.set_open(worker, false);
-        let attempts: Vec<AttemptId> = self.book.placed_on(worker).cloned().collect();
+        let attempts: Vec<AttemptId> = self.state.placed_on(worker).cloned().collect();
         for attempt in attempts {
-            let spec = self.book.spec(&attempt.task.job);
+            let spec = self.state.spec(&attempt.task.job);
             let repeatable = spec.is_some_and(|spec| spec.repeatable);
             if repeatable {
                 self.requeue(&attempt, RequeueCause::WorkerLost, None);
@@ -368,7 +376,7 @@
                 self.give_up(&attempt, "its worker is gone; it may have run");
             }
         }
-        let nothing_left = gone && self.book.placed_on(worker).next().is_none();
+        let nothing_left = gone && self.state.placed_on(worker).next().is_none();
         if nothing_left && self.ending.is_empty() && !self.is_placing_on(worker) {
             for attempt in self.pool.remove(worker) {
                 self.drop_hold(&attempt);
--- a/crates/lease/src/book.rs
+++ b/crates/lease/src/state.rs
@@ -1,6 +1,6 @@
 //! The durable state of a shard's batch work: what the journal's records add up to.
 //!
-//! [`TaskBook::apply`] is the only way to change it, both when a group has just been committed and when the journal
+//! [`ShardState::apply`] is the only way to change it, both when a group has just been committed and when the journal
 //! is read again after a takeover, so that both come to the same state.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
 
 /// One task's durable state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskCell {
+pub struct TaskState {
     /// Where it is in its life.
     pub stage: TaskStage,
     /// The number of its newest attempt; 0 before the first.
@@ -88,23 +88,25 @@
 
 /// One job and this shard's tasks of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobBook {
+pub struct JobState {
     /// The job as declared.
     pub spec: Arc<JobSpec>,
     /// Its tasks by position.
-    pub tasks: BTreeMap<u32, TaskCell>,
+    pub tasks: BTreeMap<u32, TaskState>,
 }
 
-impl JobBook {
+impl JobState {
     /// Whether nothing is left to do.
     pub fn is_over(&self) -> bool {
-        self.tasks.values().all(|cell| cell.stage.is_over())
+        self.tasks
+            .values()
+            .all(|task_state| task_state.stage.is_over())
     }
 }
 
 /// Counts of records, for metrics and for bounds in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BookStats {
+pub struct RecordStats {
     /// Tasks finished.
     pub finished: u64,
     /// Finishes that came too late to count.
@@ -128,26 +130,26 @@
 
 /// The durable state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TaskBook {
+pub struct ShardState {
     /// The newest configuration that was taken in.
     pub revision: Revision,
     /// Jobs by name.
-    pub jobs: BTreeMap<JobId, JobBook>,
+    pub jobs: BTreeMap<JobId, JobState>,
     /// Counts of records.
-    pub stats: BookStats,
+    pub stats: RecordStats,
     #[serde(skip)]
     placed: BTreeMap<WorkerId, BTreeSet<AttemptId>>,
 }
 
-impl TaskBook {
+impl ShardState {
     /// Finds a task.
-    pub fn cell(&self, task: &TaskId) -> Option<&TaskCell> {
+    pub fn task_state(&self, task: &TaskId) -> Option<&TaskState> {
         self.jobs.get(&task.job)?.tasks.get(&task.index)
     }
 
     /// Finds the declaration of a task's job.
     pub fn spec(&self, job: &JobId) -> Option<&Arc<JobSpec>> {
-        self.jobs.get(job).map(|book| &book.spec)
+        self.jobs.get(job).map(|job_state| &job_state.spec)
     }
 
     /// The attempts that are placed on a worker.
@@ -167,9 +169,9 @@
 
     /// The worker on which `attempt` is placed, where it is its task's newest.
     pub fn current_worker(&self, attempt: &AttemptId) -> Option<&WorkerId> {
-        let cell = self.cell(&attempt.task)?;
-        match &cell.stage {
-            TaskStage::Placed(worker) if cell.attempts == attempt.number => Some(worker),
+        let task_state = self.task_state(&attempt.task)?;
+        match &task_state.stage {
+            TaskStage::Placed(worker) if task_state.attempts == attempt.number => Some(worker),
             _ => None,
         }
     }
@@ -177,15 +179,15 @@
     /// Builds the index of placed attempts anew, after a snapshot was read.
     pub fn reindex(&mut self) {
         self.placed.clear();
-        for (job, book) in &self.jobs {
-            for (&index, cell) in &book.tasks {
-                if let TaskStage::Placed(worker) = &cell.stage {
+        for (job, job_state) in &self.jobs {
+            for (&index, task_state) in &job_state.tasks {
+                if let TaskStage::Placed(worker) = &task_state.stage {
                     let attempt = AttemptId {
                         task: TaskId {
                             job: job.clone(),
                             index,
                         },
-                        number: cell.attempts,
+                        number: task_state.attempts,
                     };
                     self.placed
                         .entry(worker.clone())
@@ -234,29 +236,29 @@
 
     fn apply_job(&mut self, spec: &JobSpec, tasks: &[u32]) -> bool {
         let spec = Arc::new(spec.clone());
-        let book = self
+        let job_state = self
             .jobs
             .entry(spec.name.clone())
-            .or_insert_with(|| JobBook {
+            .or_insert_with(|| JobState {
                 spec: spec.clone(),
                 tasks: BTreeMap::new(),
             });
-        book.spec = spec;
+        job_state.spec = spec;
         for &index in tasks {
-            book.tasks.entry(index).or_default();
+            job_state.tasks.entry(index).or_default();
         }
         true
     }
 
     fn apply_placed(&mut self, attempt: &AttemptId, worker: &WorkerId) -> bool {
-        let Some(cell) = self.cell_mut(&attempt.task) else {
+        let Some(task_state) = self.task_state_mut(&attempt.task) else {
             return false;
         };
-        if cell.stage != TaskStage::Waiting || attempt.number != cell.attempts + 1 {
+        if task_state.stage != TaskStage::Waiting || attempt.number != task_state.attempts + 1 {
             return false;
         }
-        cell.attempts = attempt.number;
-        cell.stage = TaskStage::Placed(worker.clone());
+        task_state.attempts = attempt.number;
+        task_state.stage = TaskStage::Placed(worker.clone());
         self.placed
             .entry(worker.clone())
             .or_default()
@@ -274,17 +276,17 @@
         if !self.unplace(attempt) {
             return false;
         }
-        let cell = self.cell_mut(&attempt.task).expect("it was placed");
-        cell.stage = TaskStage::Waiting;
+        let task_state = self.task_state_mut(&attempt.task).expect("it was placed");
+        task_state.stage = TaskStage::Waiting;
         if checkpoint.is_some() {
-            cell.checkpoint = checkpoint.clone();
+            task_state.checkpoint = checkpoint.clone();
         }
         match cause {
             RequeueCause::Evicted => {
-                cell.evictions += 1;
+                task_state.evictions += 1;
                 self.stats.evictions += 1;
             }
-            RequeueCause::Failed => cell.failures += 1,
+            RequeueCause::Failed => task_state.failures += 1,
             RequeueCause::NotRun | RequeueCause::WorkerLost | RequeueCause::WatchEnded => {}
         }
         true
@@ -295,27 +297,27 @@
             self.stats.late_finishes += 1;
             return false;
         }
-        let cell = self.cell_mut(&attempt.task).expect("it was placed");
-        cell.stage = TaskStage::Finished(output.to_owned());
-        cell.checkpoint = None;
+        let task_state = self.task_state_mut(&attempt.task).expect("it was placed");
+        task_state.stage = TaskStage::Finished(output.to_owned());
+        task_state.checkpoint = None;
         self.stats.finished += 1;
         true
     }
 
     fn apply_cancelled(&mut self, job: &JobId) -> bool {
-        let Some(book) = self.jobs.get_mut(job) else {
+        let Some(job_state) = self.jobs.get_mut(job) else {
             return false;
         };
         let mut any = false;
         let mut stopped = Vec::new();
-        for (&index, cell) in &mut book.tasks {
-            if cell.stage.is_over() {
+        for (&index, task_state) in &mut job_state.tasks {
+            if task_state.stage.is_over() {
                 continue;
             }
-            if let TaskStage::Placed(worker) = &cell.stage {
-                stopped.push((worker.clone(), index, cell.attempts));
+            if let TaskStage::Placed(worker) = &task_state.stage {
+                stopped.push((worker.clone(), index, task_state.attempts));
             }
-            cell.stage = TaskStage::Cancelled;
+            task_state.stage = TaskStage::Cancelled;
             any = true;
         }
         for (worker, index, number) in stopped {
@@ -330,51 +332,51 @@
 
     fn apply_unplaceable(&mut self, task: &TaskId, reason: &str) -> bool {
         let waits = self
-            .cell(task)
-            .is_some_and(|cell| cell.stage == TaskStage::Waiting);
+            .task_state(task)
+            .is_some_and(|task_state| task_state.stage == TaskStage::Waiting);
         waits && self.end_task(task, TaskStage::Unplaceable(reason.to_owned()))
     }
 
     fn apply_handed_off(&mut self, task: &TaskId, to: &ShardId) -> bool {
-        let Some(cell) = self.cell_mut(task) else {
+        let Some(task_state) = self.task_state_mut(task) else {
             return false;
         };
-        if cell.stage != TaskStage::Waiting {
+        if task_state.stage != TaskStage::Waiting {
             return false;
         }
-        cell.stage = TaskStage::HandedOff(to.clone());
-        cell.hops += 1;
+        task_state.stage = TaskStage::HandedOff(to.clone());
+        task_state.hops += 1;
         true
     }
 
     /// Each hand-off raises the task's hops, so that an entry read twice is told from a task that came back.
     fn apply_adopted(&mut self, handoff: &TaskHandoff) -> bool {
-        let known = self.cell(&handoff.task());
-        if known.is_some_and(|known| known.hops >= handoff.cell.hops) {
+        let known = self.task_state(&handoff.task());
+        if known.is_some_and(|known| known.hops >= handoff.state.hops) {
             return false;
         }
         let name = &handoff.job.name;
         if !self.jobs.contains_key(name) {
             self.apply_job(&handoff.job, &[]);
         }
-        let book = self
+        let job_state = self
             .jobs
             .get_mut(name)
             .expect("it is known or was just added");
-        book.tasks.insert(handoff.index, handoff.cell.clone());
+        job_state.tasks.insert(handoff.index, handoff.state.clone());
         true
     }
 
     /// Ends a task that isn't over; its placed attempt, if any, no longer counts.
     fn end_task(&mut self, task: &TaskId, stage: TaskStage) -> bool {
-        let Some(cell) = self.cell_mut(task) else {
+        let Some(task_state) = self.task_state_mut(task) else {
             return false;
         };
-        if cell.stage.is_over() {
+        if task_state.stage.is_over() {
             return false;
         }
-        let before = std::mem::replace(&mut cell.stage, stage);
-        let number = cell.attempts;
+        let before = std::mem::replace(&mut task_state.stage, stage);
+        let number = task_state.attempts;
         if let TaskStage::Placed(worker) = before {
             let attempt = AttemptId {
                 task: task.clone(),
@@ -403,7 +405,7 @@
         }
     }
 
-    fn cell_mut(&mut self, task: &TaskId) -> Option<&mut TaskCell> {
+    fn task_state_mut(&mut self, task: &TaskId) -> Option<&mut TaskState> {
         self.jobs.get_mut(&task.job)?.tasks.get_mut(&task.index)
     }
 
--- a/crates/lease/tests/book.rs
+++ b/crates/lease/tests/book.rs
@@ -4,7 +4,7 @@
 use sandshelf_cases::cases;
 use sandshelf_config::{JobKind, JobSpec, UrgencyLevel};
 use sandshelf_lease::{
-    decode_snapshot, encode_snapshot, JournalRecord, RecordEffect, RequeueCause, TaskBook,
+    decode_snapshot, encode_snapshot, JournalRecord, RecordEffect, RequeueCause, ShardState,
     TaskStage,
 };
 use sandshelf_model::{AttemptId, JobId, ResourceSize, TaskId, TeamId, WorkerId};
@@ -64,8 +64,8 @@
     }
 }
 
-fn book_of(records: &[JournalRecord]) -> TaskBook {
-    let mut book = TaskBook::default();
+fn book_of(records: &[JournalRecord]) -> ShardState {
+    let mut book = ShardState::default();
     for record in records {
         book.apply(record);
     }
@@ -76,7 +76,7 @@
 fn finish_of_an_older_attempt() {
     let mut book = book_of(&[added(1), placed(0, 1), requeued(0, 1), placed(0, 2)]);
     assert_eq!(book.apply(&finished(0, 1)), RecordEffect::Stale);
-    let stage = |book: &TaskBook| book.cell(&task(0)).map(|cell| cell.stage.clone());
+    let stage = |book: &ShardState| book.task_state(&task(0)).map(|cell| cell.stage.clone());
     assert!(matches!(stage(&book), Some(TaskStage::Placed(_))));
     assert_eq!(book.stats.late_finishes, 1);
     assert_eq!(book.apply(&finished(0, 2)), RecordEffect::Applied);
@@ -89,7 +89,7 @@
 fn eviction_counts_once() {
     let mut book = book_of(&[added(1), placed(0, 1), requeued(0, 1)]);
     assert_eq!(book.apply(&requeued(0, 1)), RecordEffect::Stale);
-    let cell = book.cell(&task(0)).expect("it is known");
+    let cell = book.task_state(&task(0)).expect("it is known");
     assert_eq!(cell.checkpoint.as_deref(), Some("checkpoint-1"));
     assert_eq!(cell.evictions, 1);
 }
@@ -103,7 +103,7 @@
     assert_eq!(book.apply(&cancelled), RecordEffect::Applied);
     assert_eq!(book.apply(&finished(0, 1)), RecordEffect::Stale);
     let stages: Vec<TaskStage> = (0..3)
-        .filter_map(|index| book.cell(&task(index)).map(|cell| cell.stage.clone()))
+        .filter_map(|index| book.task_state(&task(index)).map(|cell| cell.stage.clone()))
         .collect();
     assert_eq!(stages[0], TaskStage::Cancelled);
     assert_eq!(stages[1], TaskStage::Finished("out-1".to_owned()));
--- a/crates/lease/tests/corners.rs
+++ b/crates/lease/tests/corners.rs
@@ -230,7 +230,7 @@
     let whole = 12_000 + TIMES.shard_lease_ms + TIMES.silence_ms() + 4_000;
     assert!(world.now - began < whole, "step {step}: it began anew");
     let book = world.durable(&shard);
-    let cell = book.cell(&wanted).expect("it is known");
+    let cell = book.task_state(&wanted).expect("it is known");
     assert!(
         cell.evictions <= 1,
         "step {step}: evicted {} times",
--- a/crates/lease/tests/handoff.rs
+++ b/crates/lease/tests/handoff.rs
@@ -4,8 +4,8 @@
 
 use sandshelf_cases::cases;
 use sandshelf_lease::{
-    home_shard, JournalRecord, RecordEffect, ShardEvent, ShardNote, TaskBook, TaskCell,
-    TaskHandoff, TaskStage,
+    home_shard, JournalRecord, RecordEffect, ShardEvent, ShardNote, ShardState, TaskHandoff,
+    TaskStage, TaskState,
 };
 use sandshelf_model::{JobId, ShardId, TaskId};
 use support::jobs::job;
@@ -15,9 +15,9 @@
     TaskHandoff {
         job: job("moved", 1, 1_000),
         index: 0,
-        cell: TaskCell {
+        state: TaskState {
             hops,
-            ..TaskCell::default()
+            ..TaskState::default()
         },
         revision: 1,
     }
@@ -32,7 +32,7 @@
 
 /// An inbox entry that is read twice is taken in once, also after the task has been handed on.
 fn entry_read_twice(handed_on: bool) {
-    let mut book = TaskBook::default();
+    let mut book = ShardState::default();
     let record = JournalRecord::Adopted {
         handoff: Box::new(handoff(1)),
     };
@@ -44,14 +44,14 @@
         };
         assert_eq!(book.apply(&on), RecordEffect::Applied);
     }
-    let before = book.cell(&moved()).cloned();
+    let before = book.task_state(&moved()).cloned();
     assert_eq!(book.apply(&record), RecordEffect::Stale);
-    assert_eq!(book.cell(&moved()).cloned(), before);
+    assert_eq!(book.task_state(&moved()).cloned(), before);
 }
 
 /// A task that comes back after it was handed on is taken in again.
 fn task_that_comes_back() {
-    let mut book = TaskBook::default();
+    let mut book = ShardState::default();
     let take = |hops| JournalRecord::Adopted {
         handoff: Box::new(handoff(hops)),
     };
@@ -61,7 +61,7 @@
         handoff: Box::new(handoff(2)),
     });
     assert_eq!(book.apply(&take(3)), RecordEffect::Applied);
-    let stage = book.cell(&moved()).map(|cell| cell.stage.clone());
+    let stage = book.task_state(&moved()).map(|cell| cell.stage.clone());
     assert_eq!(stage, Some(TaskStage::Waiting));
 }
 
@@ -105,7 +105,7 @@
             "{task}: {stages:?}"
         );
         let home = home_shard(&name, index, &shards).expect("there are shards");
-        let cell = world.durable(home).cell(&task).cloned();
+        let cell = world.durable(home).task_state(&task).cloned();
         away += usize::from(cell.is_some_and(|cell| matches!(cell.stage, TaskStage::HandedOff(_))));
     }
     let finishes = world.count_notes(|note| matches!(note, ShardNote::Finished(_)));
--- a/crates/lease/tests/support/world/looks.rs
+++ b/crates/lease/tests/support/world/looks.rs
@@ -1,7 +1,7 @@
 //! What tests look at: notes, places, durable state.
 
 use sandshelf_fakes::FakeWorker;
-use sandshelf_lease::{decode_snapshot, ShardNote, TaskBook, TaskStage};
+use sandshelf_lease::{decode_snapshot, ShardNote, ShardState, TaskStage};
 use sandshelf_model::{ShardId, TaskId, WorkerId};
 use sandshelf_platform::{journal_range, read_group, read_shard_row, TableKey};
 
@@ -22,7 +22,7 @@
     }
 
     /// Reads a shard's durable state as a successor would.
-    pub fn durable(&self, shard: &ShardId) -> TaskBook {
+    pub fn durable(&self, shard: &ShardId) -> ShardState {
         let row = self.store.table.row(&TableKey::Shard(shard).text());
         let stored = read_shard_row(row).expect("rows are written by owners");
         let row = stored.row;
@@ -42,7 +42,7 @@
     /// The stages of a task in all shards, but for those that handed it on.
     pub fn stages(&self, task: &TaskId) -> Vec<TaskStage> {
         let books = self.shards.iter().map(|shard| self.durable(shard));
-        let cells = books.filter_map(|book| book.cell(task).cloned());
+        let cells = books.filter_map(|book| book.task_state(task).cloned());
         cells
             .map(|cell| cell.stage)
             .filter(|stage| !matches!(stage, TaskStage::HandedOff(_)))
--- a/crates/sandshelfd/src/control/explain.rs
+++ b/crates/sandshelfd/src/control/explain.rs
@@ -1,6 +1,6 @@
 //! Answers why a task, a job or a class of requests is where it is.
 
-use sandshelf_lease::{ShardOwner, TaskCell, TaskStage};
+use sandshelf_lease::{ShardOwner, TaskStage, TaskState};
 use sandshelf_model::{AttemptId, JobId, TaskId};
 
 use super::ControlState;
@@ -54,7 +54,7 @@
 }
 
 fn explain_job(owner: &ShardOwner, job: &JobId, only: Option<u32>, lines: &mut Vec<String>) {
-    let Some(book) = owner.book().jobs.get(job) else {
+    let Some(book) = owner.state().jobs.get(job) else {
         return;
     };
     let tasks = book.tasks.iter();
@@ -68,7 +68,7 @@
     }
 }
 
-fn explain_task(owner: &ShardOwner, task: &TaskId, cell: &TaskCell) -> String {
+fn explain_task(owner: &ShardOwner, task: &TaskId, cell: &TaskState) -> String {
     let shard = owner.shard();
     let past = format!(
         "attempts {}, failures {}, evictions {}, hand-offs {}",
--- a/crates/sandshelfd/src/control/owners.rs
+++ b/crates/sandshelfd/src/control/owners.rs
@@ -97,7 +97,7 @@
 
     fn meter_start(&self, shard: &ShardId, attempt: &AttemptId, waited: Millis) {
         let owner = self.owners.get(shard);
-        if let Some(spec) = owner.and_then(|owner| owner.book().spec(&attempt.task.job)) {
+        if let Some(spec) = owner.and_then(|owner| owner.state().spec(&attempt.task.job)) {
             meters::note_start(&spec.team, waited as f64 / 1_000.0);
         }
     }
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -123,7 +123,7 @@
             .filter(|owner| *owner.stage() == LeaseStage::Holding)
             .collect();
         let waiting = owned.iter().map(|owner| owner.waiting_count()).sum();
-        let placed = owned.iter().map(|owner| owner.book().placed_count()).sum();
+        let placed = owned.iter().map(|owner| owner.state().placed_count()).sum();
         meters::show_shards(owned.len(), waiting, placed);
         let head = self.config.head();
         self.operator.publish(HostStatus {
@@ -199,8 +199,8 @@
         epoch: owner.epoch(),
         valid: owner.is_owner(now),
         waiting: owner.waiting_count(),
-        placed: owner.book().placed_count(),
-        stats: owner.book().stats,
+        placed: owner.state().placed_count(),
+        stats: owner.state().stats,
         counts: *owner.counts(),
         quotas: quota_statuses(owner),
         workers: workers.collect(),
@@ -221,7 +221,7 @@
 }
 
 fn job_statuses(owner: &ShardOwner) -> Vec<JobStatus> {
-    let jobs = owner.book().jobs.iter();
+    let jobs = owner.state().jobs.iter();
     jobs.map(|(job, book)| {
         let mut stages: BTreeMap<&str, usize> = BTreeMap::new();
         for cell in book.tasks.values() {
@@ -230,7 +230,7 @@
         JobStatus {
             job: job.to_string(),
             team: book.spec.team.to_string(),
-            watch: owner.book().is_watch(job),
+            watch: owner.state().is_watch(job),
             stages: stages
                 .into_iter()
                 .map(|(stage, tasks)| StageCount {
--- a/crates/sandshelfd/src/status.rs
+++ b/crates/sandshelfd/src/status.rs
@@ -1,6 +1,6 @@
 //! What a daemon tells operators about itself.
 
-use sandshelf_lease::{BookStats, OwnerCounts};
+use sandshelf_lease::{OwnerCounts, RecordStats};
 use sandshelf_model::{Epoch, ResourceSize, Revision};
 use serde::Serialize;
 
@@ -81,7 +81,7 @@
     /// Attempts that are placed.
     pub placed: usize,
     /// Counts of records.
-    pub stats: BookStats,
+    pub stats: RecordStats,
     /// Counts of messages.
     pub counts: OwnerCounts,
     /// Slices of the teams' quotas.
