--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -278,9 +278,9 @@
         let run_ms = spec.map_or(order.run_ms, |spec| {
             self.families.run_time(&spec.family, spec.run_ms)
         });
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.expect_end(attempt, now + run_ms);
-            contact.push_start(order);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.expect_end(attempt, now + run_ms);
+            session.push_start(order);
         }
     }
 
@@ -340,7 +340,7 @@
         }
         let workers: Vec<_> = self.state.placed_workers().cloned().collect();
         for worker in workers {
-            self.add_contact(&worker);
+            self.add_session(&worker);
             let attempts: Vec<_> = self.state.placed_on(&worker).cloned().collect();
             for attempt in attempts {
                 self.hold_recovered(&worker, &attempt);
@@ -374,9 +374,9 @@
     /// For how long workers that this owner could not reach may still run what it or an earlier one renewed.
     fn remaining_silence(&self, now: Millis) -> Millis {
         let own = self.times.task_lease_ms + self.times.drift_ms;
-        let unreached = self.contacts.values().filter(|contact| !contact.fenced);
+        let unreached = self.sessions.values().filter(|session| !session.fenced);
         unreached
-            .map(|contact| contact.silent_until.saturating_sub(now))
+            .map(|session| session.silent_until.saturating_sub(now))
             .fold(own, Millis::max)
     }
 
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -9,10 +9,10 @@
 };
 use sandshelf_place::{PlaceWeights, WorkerEntry, WorkerTenant};
 
-use crate::contact::WorkerContact;
 use crate::journal::{JournalRecord, TaskHandoff};
 use crate::owner::ShardOwner;
 use crate::ownership::LeaseStage;
+use crate::session::WorkerSession;
 use crate::state::TaskStage;
 
 /// The shard that a task belongs to until it is handed off.
@@ -185,27 +185,27 @@
     }
 
     pub(crate) fn add_worker(&mut self, entry: &WorkerEntry) {
-        self.add_contact(&entry.worker);
-        let reported = self.contacts[&entry.worker].reported;
+        self.add_session(&entry.worker);
+        let reported = self.sessions[&entry.worker].reported;
         let mut entry = entry.clone();
         entry.capacity = reported.unwrap_or(entry.capacity);
         self.pool.upsert(&entry);
     }
 
-    pub(crate) fn add_contact(&mut self, worker: &WorkerId) {
+    pub(crate) fn add_session(&mut self, worker: &WorkerId) {
         let silent_until = self.claimed_at + self.silence_ms;
-        let contact = self
-            .contacts
+        let session = self
+            .sessions
             .entry(worker.clone())
-            .or_insert_with(|| WorkerContact::new(silent_until));
-        contact.gone = self.gone.contains(worker);
-        contact.leaving = self.leaving.contains(worker);
+            .or_insert_with(|| WorkerSession::new(silent_until));
+        session.gone = self.gone.contains(worker);
+        session.leaving = self.leaving.contains(worker);
     }
 
     fn mark_gone(&mut self, worker: &WorkerId) {
         self.listed.remove(worker);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.gone = true;
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.gone = true;
             self.pool.set_open(worker, false);
         }
     }
@@ -213,16 +213,16 @@
     /// Closes a worker that is to be emptied and evicts what can be checkpointed.
     fn empty_worker(&mut self, worker: &WorkerId) {
         self.pool.set_open(worker, false);
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        contact.leaving = true;
+        session.leaving = true;
         let tenants: Vec<WorkerTenant> = self.pool.tenants(worker).to_vec();
         for tenant in tenants.iter().filter(|tenant| tenant.checkpoint) {
-            if contact.confirmed.contains(&tenant.attempt)
-                && !contact.evicting.contains(&tenant.attempt)
+            if session.confirmed.contains(&tenant.attempt)
+                && !session.evicting.contains(&tenant.attempt)
             {
-                contact.push_checkpoint(&tenant.attempt);
+                session.push_checkpoint(&tenant.attempt);
             }
         }
     }
@@ -305,8 +305,8 @@
         if self.state.current_worker(attempt).is_some() {
             return;
         }
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_stop(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_stop(attempt);
         }
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -23,7 +23,6 @@
 //! ```
 
 mod commit;
-mod contact;
 mod events;
 mod head;
 mod intake;
@@ -36,12 +35,12 @@
 mod recovery;
 mod reports;
 mod row;
+mod session;
 mod slices;
 mod state;
 mod times;
 mod window;
 
-pub use contact::WorkerContact;
 pub use events::{
     OwnerCounts, PlacedReason, ShardAction, ShardEvent, ShardNote, ShardRoom, WaitReason,
 };
@@ -56,6 +55,7 @@
 pub use ownership::{LeaseStage, ShardLease};
 pub use recovery::{decode_snapshot, encode_snapshot, SnapshotError};
 pub use row::{RowVersion, ShardRow, StoredRow};
+pub use session::WorkerSession;
 pub use slices::{QuotaRow, QuotaSlice, SliceKeeper, SlicePlan, SliceStep};
 pub use state::{
     JobState, RecordEffect, RecordStats, RequeueCause, ShardState, TaskStage, TaskState,
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -20,12 +20,12 @@
 };
 
 use crate::commit::{PendingCommit, SnapshotWork};
-use crate::contact::WorkerContact;
 use crate::events::{
     OwnerCounts, PlacedReason, ShardAction, ShardEvent, ShardNote, ShardRoom, WaitReason,
 };
 use crate::journal::JournalRecord;
 use crate::ownership::{LeaseStage, ShardLease};
+use crate::session::WorkerSession;
 use crate::state::ShardState;
 use crate::times::LeaseTimes;
 
@@ -56,7 +56,7 @@
     pub(crate) quotas: QuotaLedger,
     pub(crate) families: FamilyPrior,
     pub(crate) gauge: PressureGauge,
-    pub(crate) contacts: BTreeMap<WorkerId, WorkerContact>,
+    pub(crate) sessions: BTreeMap<WorkerId, WorkerSession>,
     pub(crate) listed: BTreeMap<WorkerId, WorkerEntry>,
     pub(crate) leaving: BTreeSet<WorkerId>,
     pub(crate) gone: BTreeSet<WorkerId>,
@@ -121,7 +121,7 @@
             queue: PendingQueue::default(),
             quotas: QuotaLedger::default(),
             families: FamilyPrior::default(),
-            contacts: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             listed: BTreeMap::new(),
             leaving: BTreeSet::new(),
             gone: BTreeSet::new(),
@@ -323,9 +323,9 @@
             return;
         }
         let due: Vec<WorkerId> = self
-            .contacts
+            .sessions
             .iter()
-            .filter(|(_, contact)| contact.is_due(now) || contact.is_overdue(now, &self.times))
+            .filter(|(_, session)| session.is_due(now) || session.is_overdue(now, &self.times))
             .map(|(worker, _)| worker.clone())
             .collect();
         for worker in due {
@@ -340,16 +340,16 @@
 
     fn send_to(&mut self, now: Millis, worker: &WorkerId) {
         let epoch = self.epoch();
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        if contact.is_overdue(now, &self.times) {
-            contact.note_lost(now, &self.times);
+        if session.is_overdue(now, &self.times) {
+            session.note_lost(now, &self.times);
         }
-        if !contact.is_due(now) {
+        if !session.is_due(now) {
             return;
         }
-        let orders = contact.make_orders(now, &self.shard, epoch, &self.times);
+        let orders = session.make_orders(now, &self.shard, epoch, &self.times);
         self.counts.messages += 1;
         self.actions.push(ShardAction::SendOrders {
             worker: worker.clone(),
@@ -377,7 +377,7 @@
     pub(crate) fn forget_ownership(&mut self) {
         self.state = ShardState::default();
         self.queue = PendingQueue::default();
-        self.contacts.clear();
+        self.sessions.clear();
         self.buffer.clear();
         self.adopting.clear();
         self.ending.clear();
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -52,9 +52,9 @@
     /// Whether the worker itself says that it has less than what the platform lists.
     fn is_shrunk(&self, worker: &WorkerId) -> bool {
         let reported = self
-            .contacts
+            .sessions
             .get(worker)
-            .and_then(|contact| contact.reported);
+            .and_then(|session| session.reported);
         let listed = self.listed.get(worker).map(|entry| entry.capacity);
         reported.is_some() && reported != listed
     }
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -6,10 +6,10 @@
 };
 
 use super::ShardOwner;
-use crate::contact::WorkerContact;
 use crate::events::{OwnerCounts, PlacedReason, ShardRoom, WaitReason};
 use crate::ownership::LeaseStage;
 use crate::row::StoredRow;
+use crate::session::WorkerSession;
 use crate::state::ShardState;
 
 impl ShardOwner {
@@ -49,8 +49,8 @@
     }
 
     /// Dealings with a worker.
-    pub fn contact(&self, worker: &WorkerId) -> Option<&WorkerContact> {
-        self.contacts.get(worker)
+    pub fn session(&self, worker: &WorkerId) -> Option<&WorkerSession> {
+        self.sessions.get(worker)
     }
 
     /// Counts.
@@ -120,8 +120,8 @@
         if *self.lease.stage() != LeaseStage::Holding {
             return room;
         }
-        for (worker, contact) in &self.contacts {
-            if !contact.fenced || contact.leaving || contact.gone {
+        for (worker, session) in &self.sessions {
+            if !session.fenced || session.leaving || session.gone {
                 continue;
             }
             let free = self.pool.free(worker).unwrap_or_default();
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -395,9 +395,9 @@
         };
         let spec = self.state.spec(&attempt.task.job);
         let allowed = spec.is_some_and(|spec| spec.checkpoint || spec.repeatable);
-        if let Some(contact) = self.contacts.get_mut(&worker) {
-            if allowed && contact.confirmed.contains(attempt) {
-                contact.push_checkpoint(attempt);
+        if let Some(session) = self.sessions.get_mut(&worker) {
+            if allowed && session.confirmed.contains(attempt) {
+                session.push_checkpoint(attempt);
             }
         }
     }
@@ -418,18 +418,18 @@
             tenants: &tenants,
         };
         let action = self.gauge.judge(&input, &self.pool.estimate, now);
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
         match action {
             Some(PressureAction::Throttle { attempt }) => {
                 self.counts.throttles += 1;
-                contact.push_throttle(&attempt, THROTTLED_PERCENT);
+                session.push_throttle(&attempt, THROTTLED_PERCENT);
             }
             Some(PressureAction::Unthrottle { attempt }) => {
-                contact.push_throttle(&attempt, FULL_PERCENT);
+                session.push_throttle(&attempt, FULL_PERCENT);
             }
-            Some(PressureAction::Evict { attempt }) => contact.push_checkpoint(&attempt),
+            Some(PressureAction::Evict { attempt }) => session.push_checkpoint(&attempt),
             None => {}
         }
     }
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -25,27 +25,27 @@
     ) {
         let own_epoch = self.epoch();
         let times = self.times;
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        if epoch != own_epoch || !contact.awaits(number) {
+        if epoch != own_epoch || !session.awaits(number) {
             return;
         }
         let Some(report) = report else {
-            contact.note_lost(now, &times);
+            session.note_lost(now, &times);
             return;
         };
         match report.refusal {
             Some(OrderRefusal::Outdated) => {
                 // A newer owner has been there: learn who it is before anything else.
-                contact.note_lost(now, &times);
+                session.note_lost(now, &times);
                 if self.pending.is_none() {
                     self.ask_row(now);
                 }
             }
-            Some(OrderRefusal::StampExpired) => contact.note_expired(now, report.stamp),
+            Some(OrderRefusal::StampExpired) => session.note_expired(now, report.stamp),
             None => {
-                contact.note_accepted(now, report.stamp, &times);
+                session.note_accepted(now, report.stamp, &times);
                 self.take_report(now, worker, &report);
             }
         }
@@ -70,8 +70,8 @@
         let Some(entry) = self.pool.entry(worker) else {
             return;
         };
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.reported = Some(report.capacity);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.reported = Some(report.capacity);
         }
         if entry.capacity != report.capacity {
             let mut entry = entry.clone();
@@ -88,23 +88,23 @@
         let services = entry.services.iter().map(|(_, size)| size);
         let mut room = services.fold(entry.capacity, |room, size| room.saturating_minus(size));
         let tenants = self.pool.tenants(worker).to_vec();
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
         for tenant in &tenants {
             if let Ok(left) = room.minus(&tenant.size) {
                 room = left;
-            } else if !contact.evicting.contains(&tenant.attempt) {
-                contact.push_checkpoint(&tenant.attempt);
+            } else if !session.evicting.contains(&tenant.attempt) {
+                session.push_checkpoint(&tenant.attempt);
             }
         }
     }
 
     fn open_if_sound(&mut self, worker: &WorkerId) {
-        let Some(contact) = self.contacts.get(worker) else {
+        let Some(session) = self.sessions.get(worker) else {
             return;
         };
-        let open = contact.fenced && !contact.leaving && !contact.gone;
+        let open = session.fenced && !session.leaving && !session.gone;
         let open = open && !self.pool.overfull(worker);
         self.pool.set_open(worker, open);
     }
@@ -139,10 +139,10 @@
         tenant.progress_percent = (report.ran_ms * 100 / expected).min(100) as u32;
         self.pool.record(worker, tenant);
         self.hold_room(&report.attempt, worker, &spec, size);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.confirmed.insert(report.attempt.clone());
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.confirmed.insert(report.attempt.clone());
             let left = expected.saturating_sub(report.ran_ms);
-            contact.expect_end(&report.attempt, now + left);
+            session.expect_end(&report.attempt, now + left);
         }
     }
 
@@ -170,14 +170,14 @@
                 },
             );
         }
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_stop(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_stop(attempt);
         }
     }
 
     fn starts_soon(&self, worker: &WorkerId, attempt: &AttemptId) -> bool {
-        let contact = self.contacts.get(worker);
-        contact.is_some_and(|contact| contact.is_starting(attempt))
+        let session = self.sessions.get(worker);
+        session.is_some_and(|session| session.is_starting(attempt))
     }
 
     /// Lets the worker forget the end of an attempt that no longer counts.
@@ -196,8 +196,8 @@
         }
         self.drop_hold(attempt);
         self.pool.release(worker, attempt);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_acknowledgement(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_acknowledgement(attempt);
         }
     }
 
@@ -263,8 +263,8 @@
     }
 
     fn requeue_stopped(&mut self, worker: &WorkerId, attempt: &AttemptId) {
-        let contact = self.contacts.get(worker);
-        let evicted = contact.is_some_and(|contact| contact.evicting.contains(attempt));
+        let session = self.sessions.get(worker);
+        let evicted = session.is_some_and(|session| session.evicting.contains(attempt));
         let spec = self.state.spec(&attempt.task.job);
         let repeatable = spec.is_some_and(|spec| spec.repeatable || spec.checkpoint);
         if !repeatable {
@@ -299,8 +299,8 @@
             return false;
         }
         let worker = self.state.current_worker(attempt);
-        if let Some(contact) = worker.and_then(|worker| self.contacts.get_mut(worker)) {
-            contact.drop_start(attempt);
+        if let Some(session) = worker.and_then(|worker| self.sessions.get_mut(worker)) {
+            session.drop_start(attempt);
         }
         true
     }
@@ -317,8 +317,8 @@
             .cloned()
             .collect();
         for attempt in missing {
-            let contact = self.contacts.get(worker);
-            let ran = contact.is_some_and(|contact| contact.confirmed.contains(&attempt));
+            let session = self.sessions.get(worker);
+            let ran = session.is_some_and(|session| session.confirmed.contains(&attempt));
             if ran {
                 self.requeue_stopped(worker, &attempt);
             } else {
@@ -354,10 +354,10 @@
     /// Takes tasks back from workers on which no lease can be running any more.
     pub(crate) fn retire_lapsed(&mut self, now: Millis) {
         let lapsed: Vec<(WorkerId, bool)> = self
-            .contacts
+            .sessions
             .iter()
-            .filter(|(_, contact)| contact.is_lapsed(now))
-            .map(|(worker, contact)| (worker.clone(), contact.gone))
+            .filter(|(_, session)| session.is_lapsed(now))
+            .map(|(worker, session)| (worker.clone(), session.gone))
             .collect();
         for (worker, gone) in lapsed {
             self.retire_worker(&worker, gone);
@@ -381,7 +381,7 @@
             for attempt in self.pool.remove(worker) {
                 self.drop_hold(&attempt);
             }
-            self.contacts.remove(worker);
+            self.sessions.remove(worker);
             self.gauge.forget(worker);
         }
     }
@@ -414,8 +414,8 @@
         let Some(worker) = self.drop_hold(attempt) else {
             return;
         };
-        if let Some(contact) = self.contacts.get_mut(&worker) {
-            contact.push_acknowledgement(attempt);
+        if let Some(session) = self.sessions.get_mut(&worker) {
+            session.push_acknowledgement(attempt);
         }
     }
 }
--- a/crates/lease/src/contact.rs
+++ b/crates/lease/src/session.rs
@@ -28,7 +28,7 @@
 
 /// An owner's dealings with one worker.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerContact {
+pub struct WorkerSession {
     /// Whether the worker has taken in this owner's epoch and sent its inventory since.
     pub fenced: bool,
     /// Until when what an earlier owner renewed may still run there.
@@ -59,8 +59,8 @@
     expected_ends: BTreeMap<AttemptId, Millis>,
 }
 
-impl WorkerContact {
-    /// Makes a contact with a worker on which an earlier owner's attempts may run until `silent_until`.
+impl WorkerSession {
+    /// Makes a session with a worker on which an earlier owner's attempts may run until `silent_until`.
     pub fn new(silent_until: Millis) -> Self {
         Self {
             silent_until,
--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -248,8 +248,8 @@
         let idle = idle.map(|(name, _)| name.clone()).expect("one is idle");
         for _ in 0..20 {
             let fenced = self.owners[1]
-                .contact(&idle)
-                .is_some_and(|contact| contact.fenced);
+                .session(&idle)
+                .is_some_and(|session| session.fenced);
             if fenced {
                 return;
             }
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -71,7 +71,7 @@
         let owner = self
             .owners
             .values()
-            .find(|owner| owner.contact(&window.worker).is_some());
+            .find(|owner| owner.session(&window.worker).is_some());
         let Some(owner) = owner else { return };
         let shard = owner.shard().clone();
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
@@ -184,8 +184,8 @@
 fn shard_status(owner: &ShardOwner, now: Millis) -> ShardStatus {
     let workers = owner.pool().workers().map(|worker| WorkerStatus {
         worker: worker.to_string(),
-        fenced: owner.contact(worker).is_some_and(|contact| contact.fenced),
-        leaving: owner.contact(worker).is_some_and(|contact| contact.leaving),
+        fenced: owner.session(worker).is_some_and(|session| session.fenced),
+        leaving: owner.session(worker).is_some_and(|session| session.leaving),
         free: owner.pool().free(worker).unwrap_or_default(),
         attempts: owner
             .pool()
