--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -139,7 +139,7 @@
             ..ConfigSet::default()
         });
         for shard in 0..self.owners.len() {
-            let quota = ShardEvent::QuotaSliced {
+            let quota = ShardEvent::QuotaSliceUpdated {
                 team: TeamId::from(TEAM),
                 slice: huge,
             };
@@ -240,7 +240,7 @@
             .map(ShardOwner::room)
             .collect();
         for shard in 0..self.owners.len() {
-            self.feed(now, shard, ShardEvent::RoomHeard(rooms.clone()));
+            self.feed(now, shard, ShardEvent::RoomReceived(rooms.clone()));
             self.feed(now, shard, ShardEvent::Tick);
         }
         self.deliver(now);
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -120,7 +120,7 @@
         self.feed(event);
         let huge = ResourceSize::new(1 << 40, 1 << 40, 0);
         let team = TeamId::from("team");
-        self.feed(ShardEvent::QuotaSliced {
+        self.feed(ShardEvent::QuotaSliceUpdated {
             team: team.clone(),
             slice: huge,
         });
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -66,14 +66,14 @@
                     stored: true,
                 })
             }
-            ShardAction::ReadInbox { ask } => {
+            ShardAction::ReadInbox { read_number } => {
                 let range = ReadRange::prefix(&TableKey::InboxOf(shard).text());
                 let rows = self.table.range(&range);
                 let handoffs = rows
                     .iter()
                     .map(|row| serde_json::from_str(&row.value).expect("entries are by owners"));
                 Some(ShardEvent::InboxRead {
-                    ask: *ask,
+                    read_number: *read_number,
                     handoffs: handoffs.collect(),
                 })
             }
@@ -85,12 +85,12 @@
 /// What an owner learns when nothing is known of what it asked for.
 pub fn unanswered(action: &ShardAction) -> Option<ShardEvent> {
     match action {
-        ShardAction::ReadRow => Some(ShardEvent::RowUnread),
+        ShardAction::ReadRow => Some(ShardEvent::RowReadFailed),
         ShardAction::Commit(request) => Some(ShardEvent::CommitAnswered {
             token: request.row.token.clone(),
             answer: CommitAnswer::Unknown,
         }),
-        ShardAction::LoadState { .. } => Some(ShardEvent::StateUnread),
+        ShardAction::LoadState { .. } => Some(ShardEvent::StateLoadFailed),
         ShardAction::StoreSnapshot { digest, .. } => Some(ShardEvent::SnapshotStored {
             digest: digest.clone(),
             stored: false,
--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -207,7 +207,7 @@
             return;
         }
         if request.records.iter().any(takes_from_inbox) {
-            self.inbox_valid = self.inbox_ask + 1;
+            self.first_valid_inbox_read = self.inbox_read_number + 1;
         }
         for record in &request.records {
             self.apply_committed(now, record);
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -22,7 +22,7 @@
     /// The shard's row was read.
     RowRead(StoredRow),
     /// The row could not be read.
-    RowUnread,
+    RowReadFailed,
     /// A transaction was answered.
     CommitAnswered {
         /// The token of the transaction.
@@ -38,7 +38,7 @@
         groups: Vec<(Sequence, Vec<JournalRecord>)>,
     },
     /// The snapshot or the journal could not be read.
-    StateUnread,
+    StateLoadFailed,
     /// A snapshot was stored, or not.
     SnapshotStored {
         /// Its digest.
@@ -49,7 +49,7 @@
     /// The inbox was read.
     InboxRead {
         /// The number of the ask that this answers.
-        ask: u64,
+        read_number: u64,
         /// What is in it.
         handoffs: Vec<TaskHandoff>,
     },
@@ -83,9 +83,9 @@
         shards: Arc<Vec<ShardId>>,
     },
     /// How much room other shards have, for tasks that find none here.
-    RoomHeard(Vec<ShardRoom>),
+    RoomReceived(Vec<ShardRoom>),
     /// This shard's slice of a team's quota.
-    QuotaSliced {
+    QuotaSliceUpdated {
         /// The team.
         team: TeamId,
         /// The slice.
@@ -99,9 +99,9 @@
         sample: PairSample,
     },
     /// Evict an attempt, as a policy of the driver's own asks; one that could not resume or run again is left alone.
-    EvictAsked(AttemptId),
+    EvictRequested(AttemptId),
     /// This host's place among the candidates for the shard; none where it must not claim it.
-    Ranked(Option<u32>),
+    RankUpdated(Option<u32>),
     /// Hand the shard over: commit what is open, then release.
     Release,
 }
@@ -145,7 +145,7 @@
     /// Read the inbox.
     ReadInbox {
         /// To be given back with the answer.
-        ask: u64,
+        read_number: u64,
     },
     /// Send a message to a worker.
     SendOrders {
@@ -183,7 +183,7 @@
     /// A worker was closed because tasks fail there.
     Quarantined(WorkerId),
     /// An invariant is broken; the owner has stopped.
-    Broken(String),
+    InvariantBroken(String),
 }
 
 /// Why a task waits.
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -124,8 +124,11 @@
             .push(JournalRecord::JobDropped { job: job.clone() });
     }
 
-    pub(crate) fn on_inbox(&mut self, ask: u64, handoffs: Vec<TaskHandoff>) {
-        if ask != self.inbox_ask || ask < self.inbox_valid || !self.is_settled() {
+    pub(crate) fn on_inbox(&mut self, read_number: u64, handoffs: Vec<TaskHandoff>) {
+        if read_number != self.inbox_read_number
+            || read_number < self.first_valid_inbox_read
+            || !self.is_settled()
+        {
             return;
         }
         let known = self.config.as_ref().map_or(0, |(known, _, _)| *known);
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -79,8 +79,8 @@
     pub(crate) next_load: Millis,
     pub(crate) next_handoff: Millis,
     pub(crate) read_since: Option<Millis>,
-    pub(crate) inbox_ask: u64,
-    pub(crate) inbox_valid: u64,
+    pub(crate) inbox_read_number: u64,
+    pub(crate) first_valid_inbox_read: u64,
     pub(crate) next_inbox: Millis,
     pub(crate) waiting: BTreeMap<TaskId, WaitReason>,
     pub(crate) waiting_since: HashMap<TaskId, Millis>,
@@ -144,8 +144,8 @@
             next_load: 0,
             next_handoff: 0,
             read_since: None,
-            inbox_ask: 0,
-            inbox_valid: 0,
+            inbox_read_number: 0,
+            first_valid_inbox_read: 0,
             next_inbox: 0,
             waiting: BTreeMap::new(),
             waiting_since: HashMap::new(),
@@ -178,7 +178,7 @@
         if let Err(problem) = self.verify() {
             self.broken = true;
             self.actions.clear();
-            self.note(ShardNote::Broken(problem));
+            self.note(ShardNote::InvariantBroken(problem));
         }
         std::mem::take(&mut self.actions)
     }
@@ -187,16 +187,19 @@
         match event {
             ShardEvent::Tick => {}
             ShardEvent::RowRead(read) => self.on_row(now, read),
-            ShardEvent::RowUnread => self.read_since = None,
+            ShardEvent::RowReadFailed => self.read_since = None,
             ShardEvent::CommitAnswered { token, answer } => self.on_commit(now, &token, answer),
             ShardEvent::StateLoaded { snapshot, groups } => {
                 self.on_loaded(now, snapshot.as_deref(), &groups)
             }
-            ShardEvent::StateUnread => self.loading_since = None,
+            ShardEvent::StateLoadFailed => self.loading_since = None,
             ShardEvent::SnapshotStored { digest, stored } => {
                 self.snapshot.note_stored(&digest, stored)
             }
-            ShardEvent::InboxRead { ask, handoffs } => self.on_inbox(ask, handoffs),
+            ShardEvent::InboxRead {
+                read_number,
+                handoffs,
+            } => self.on_inbox(read_number, handoffs),
             ShardEvent::WorkerAnswered {
                 worker,
                 epoch,
@@ -213,13 +216,13 @@
                 set,
                 shards,
             } => self.on_configured(revision, set, shards),
-            ShardEvent::RoomHeard(rooms) => self.rooms = rooms,
-            ShardEvent::QuotaSliced { team, slice } => self.quotas.set_slice(&team, slice),
+            ShardEvent::RoomReceived(rooms) => self.rooms = rooms,
+            ShardEvent::QuotaSliceUpdated { team, slice } => self.quotas.set_slice(&team, slice),
             ShardEvent::SlowdownMeasured { worker, sample } => {
                 self.on_slowdown(now, &worker, &sample)
             }
-            ShardEvent::EvictAsked(attempt) => self.evict_asked(&attempt),
-            ShardEvent::Ranked(rank) => self.rank = rank,
+            ShardEvent::EvictRequested(attempt) => self.evict_requested(&attempt),
+            ShardEvent::RankUpdated(rank) => self.rank = rank,
             ShardEvent::Release => self.releasing = true,
         }
     }
@@ -312,9 +315,9 @@
             return;
         }
         self.next_inbox = now + INBOX_EVERY_MS;
-        self.inbox_ask += 1;
+        self.inbox_read_number += 1;
         self.actions.push(ShardAction::ReadInbox {
-            ask: self.inbox_ask,
+            read_number: self.inbox_read_number,
         });
     }
 
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -389,7 +389,7 @@
     }
 
     /// Evicts an attempt that runs and can be resumed or run again.
-    pub(crate) fn evict_asked(&mut self, attempt: &AttemptId) {
+    pub(crate) fn evict_requested(&mut self, attempt: &AttemptId) {
         let Some(worker) = self.state.current_worker(attempt).cloned() else {
             return;
         };
--- a/crates/lease/tests/corners.rs
+++ b/crates/lease/tests/corners.rs
@@ -101,7 +101,7 @@
             world.owner(host, &shard).epoch() > 1 && world.owner(host, &shard).is_owner(world.now)
         })
         .expect("one of them owns it");
-    world.feed(&second, &shard, ShardEvent::Ranked(None));
+    world.feed(&second, &shard, ShardEvent::RankUpdated(None));
     world.feed(&second, &shard, ShardEvent::Release);
     world.run_until(world.now + 30_000);
     finish(&mut world, &wanted);
@@ -184,7 +184,7 @@
     let owner = world.owner_of(&shard).expect("the shard has an owner");
     world.lose_commit_answers = true;
     world.run_until(5_000);
-    world.feed(&owner, &shard, ShardEvent::Ranked(None));
+    world.feed(&owner, &shard, ShardEvent::RankUpdated(None));
     world.feed(&owner, &shard, ShardEvent::Release);
     world.configure(vec![job("plain", 6, 300), job("late", 6, 300)]);
     for index in 0..6 {
--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -93,7 +93,7 @@
                 gone: BTreeSet::new(),
             };
             state.feed(owner, listed);
-            let quota = ShardEvent::QuotaSliced {
+            let quota = ShardEvent::QuotaSliceUpdated {
                 team: TeamId::from("team"),
                 slice: ResourceSize::new(1 << 30, 1 << 30, 0),
             };
@@ -112,7 +112,7 @@
         let actions = self.owners[owner].handle(self.now, event);
         for action in actions {
             match action {
-                ShardAction::Note(ShardNote::Broken(problem)) => panic!("{problem}"),
+                ShardAction::Note(ShardNote::InvariantBroken(problem)) => panic!("{problem}"),
                 ShardAction::Note(_) | ShardAction::ReadInbox { .. } => {}
                 action => self.messages.push(Message {
                     from: owner,
--- a/crates/lease/tests/handoff.rs
+++ b/crates/lease/tests/handoff.rs
@@ -78,7 +78,7 @@
     let host = world.owner_of(&shard).expect("the shard has an owner");
     let before = world.owner(&host, &shard).counts().records;
     let late = ShardEvent::InboxRead {
-        ask: 1,
+        read_number: 1,
         handoffs: vec![handoff(7)],
     };
     world.feed(&host, &shard, late);
--- a/crates/lease/tests/support/world/chances.rs
+++ b/crates/lease/tests/support/world/chances.rs
@@ -81,7 +81,7 @@
         self.feed(
             host,
             shard,
-            ShardEvent::EvictAsked(attempts[picked].clone()),
+            ShardEvent::EvictRequested(attempts[picked].clone()),
         );
     }
 
--- a/crates/lease/tests/support/world/mod.rs
+++ b/crates/lease/tests/support/world/mod.rs
@@ -166,7 +166,7 @@
             let seed = self.seed ^ u64::from(number) << 8 ^ index as u64;
             let mut owner = ShardOwner::new(shard.clone(), host.clone(), self.times, seed);
             let rank = (number as usize + index) % 3;
-            owner.handle(0, ShardEvent::Ranked(Some(rank as u32)));
+            owner.handle(0, ShardEvent::RankUpdated(Some(rank as u32)));
             owners.insert(shard.clone(), owner);
         }
         let drift = self.source.random_range(-MOST_DRIFT..=MOST_DRIFT);
@@ -274,7 +274,7 @@
     pub fn rank_by_order(&mut self) {
         for (rank, host) in self.host_ids().iter().enumerate() {
             for shard in self.shard_ids() {
-                self.feed(host, &shard, ShardEvent::Ranked(Some(rank as u32)));
+                self.feed(host, &shard, ShardEvent::RankUpdated(Some(rank as u32)));
             }
         }
     }
@@ -344,7 +344,7 @@
         for action in actions {
             if let ShardAction::Note(note) = action {
                 assert!(
-                    !matches!(note, ShardNote::Broken(_)),
+                    !matches!(note, ShardNote::InvariantBroken(_)),
                     "seed {} at {}: {host} {shard}: {note:?}",
                     self.seed,
                     self.now
--- a/crates/lease/tests/support/world/passage.rs
+++ b/crates/lease/tests/support/world/passage.rs
@@ -19,7 +19,7 @@
             for shard in self.shard_ids() {
                 self.feed(&host, &shard, ShardEvent::Tick);
                 let rooms = self.rooms();
-                self.feed(&host, &shard, ShardEvent::RoomHeard(rooms));
+                self.feed(&host, &shard, ShardEvent::RoomReceived(rooms));
             }
         }
         self.schedule(self.now + TICK_MS, Happening::Tick(host));
@@ -35,7 +35,7 @@
     pub(super) fn tell_config(&mut self, host: &HostId, revision: Revision) {
         let set = self.sets[revision as usize].clone();
         for shard in self.shard_ids() {
-            let quota = ShardEvent::QuotaSliced {
+            let quota = ShardEvent::QuotaSliceUpdated {
                 team: TeamId::from("team"),
                 slice: ResourceSize::new(1 << 40, 1 << 40, 0),
             };
--- a/crates/sandshelfd/src/control.rs
+++ b/crates/sandshelfd/src/control.rs
@@ -401,7 +401,7 @@
         self.publish_status(now);
         let shards: Vec<ShardId> = self.owners.keys().cloned().collect();
         for shard in shards {
-            self.feed(now, &shard, ShardEvent::Ranked(None));
+            self.feed(now, &shard, ShardEvent::RankUpdated(None));
             self.feed(now, &shard, ShardEvent::Release);
         }
     }
--- a/crates/sandshelfd/src/control/owners.rs
+++ b/crates/sandshelfd/src/control/owners.rs
@@ -17,7 +17,7 @@
             let row = self.owners[&shard].row();
             let holder = row.and_then(|seen| seen.row.owner.as_ref());
             let rank = self.members.rank(now, &shard, holder);
-            self.feed(now, &shard, ShardEvent::Ranked(rank));
+            self.feed(now, &shard, ShardEvent::RankUpdated(rank));
         }
     }
 
@@ -88,7 +88,7 @@
                 event("task_given_up", &[("task", task), ("reason", reason)])
             }
             ShardNote::Quarantined(worker) => event("worker_quarantined", &[("worker", worker)]),
-            ShardNote::Broken(problem) => event(
+            ShardNote::InvariantBroken(problem) => event(
                 "invariant_broken",
                 &[("shard", shard), ("problem", problem)],
             ),
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -106,7 +106,7 @@
         let rooms: Vec<ShardRoom> = self.rooms.values().cloned().collect();
         let shards: Vec<ShardId> = self.owners.keys().cloned().collect();
         for shard in shards {
-            self.feed(now, &shard, ShardEvent::RoomHeard(rooms.clone()));
+            self.feed(now, &shard, ShardEvent::RoomReceived(rooms.clone()));
         }
     }
 
--- a/crates/sandshelfd/src/control/quota.rs
+++ b/crates/sandshelfd/src/control/quota.rs
@@ -96,7 +96,7 @@
         if self.owners[&name.shard].epoch() != name.epoch {
             return;
         }
-        let event = ShardEvent::QuotaSliced {
+        let event = ShardEvent::QuotaSliceUpdated {
             team: name.team.clone(),
             slice,
         };
--- a/crates/sandshelfd/src/shards.rs
+++ b/crates/sandshelfd/src/shards.rs
@@ -32,7 +32,7 @@
             meters::note_platform("snapshot", stored);
             Some(ShardEvent::SnapshotStored { digest, stored })
         }
-        ShardAction::ReadInbox { ask } => read_inbox(platform, shard, ask).await,
+        ShardAction::ReadInbox { read_number } => read_inbox(platform, shard, read_number).await,
         ShardAction::SendOrders { worker, orders } => {
             let report = match workers.get(&worker) {
                 Some(address) => platform.send_orders(*address, &orders).await.ok(),
@@ -60,13 +60,13 @@
     meters::note_platform("read", rows.is_ok());
     let event_of = |shard: &ShardId| {
         let Ok(rows) = &rows else {
-            return ShardEvent::RowUnread;
+            return ShardEvent::RowReadFailed;
         };
         let key = TableKey::Shard(shard).text();
         let row = rows.iter().find(|row| row.key == key);
         match read_shard_row(row) {
             Ok(stored) => ShardEvent::RowRead(stored),
-            Err(_) => ShardEvent::RowUnread,
+            Err(_) => ShardEvent::RowReadFailed,
         }
     };
     let shards = shards.iter();
@@ -101,7 +101,7 @@
 ) -> ShardEvent {
     match try_load(platform, shard, snapshot, after, to).await {
         Ok(event) => event,
-        Err(_) => ShardEvent::StateUnread,
+        Err(_) => ShardEvent::StateLoadFailed,
     }
 }
 
@@ -124,12 +124,19 @@
     Ok(ShardEvent::StateLoaded { snapshot, groups })
 }
 
-async fn read_inbox(platform: &PlatformClient, shard: &ShardId, ask: u64) -> Option<ShardEvent> {
+async fn read_inbox(
+    platform: &PlatformClient,
+    shard: &ShardId,
+    read_number: u64,
+) -> Option<ShardEvent> {
     let range = ReadRange::prefix(&TableKey::InboxOf(shard).text());
     let rows = platform.read_range(&range).await.ok()?;
     let handoffs: Vec<TaskHandoff> = rows
         .iter()
         .filter_map(|row| serde_json::from_str(&row.value).ok())
         .collect();
-    Some(ShardEvent::InboxRead { ask, handoffs })
+    Some(ShardEvent::InboxRead {
+        read_number,
+        handoffs,
+    })
 }
