--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -262,7 +262,7 @@
         self.control.waiting_batch = None;
         self.control.takeover = None;
         self.control.rank = self.control.strength.draw_rank(&mut self.random);
-        self.control.lease.fall_back();
+        self.control.lease.return_to_watching();
     }
 
     pub(super) fn token(&mut self) -> String {
@@ -303,7 +303,7 @@
                 self.control.lease.note_read(now, row);
             }
             _ if *self.control.lease.stage() == LeaseStage::Watching => {
-                self.control.lease.fall_back();
+                self.control.lease.return_to_watching();
             }
             _ => {}
         }
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -156,7 +156,7 @@
                 other.troubled = !served;
                 match served {
                     true => _ = other.lease.note_read(now, self.stored.clone()),
-                    false => other.lease.fall_back(),
+                    false => other.lease.return_to_watching(),
                 }
             }
             let free = other.lease.may_claim(now, 0);
@@ -171,7 +171,7 @@
                     self.claimed_at = Some(now);
                     other.lease.note_committed(now, now, version + 1, row);
                 } else {
-                    other.lease.fall_back();
+                    other.lease.return_to_watching();
                 }
             }
         }
@@ -201,7 +201,7 @@
             if other.near || out {
                 for (_, number) in std::mem::take(&mut other.questions) {
                     if other.troubled && other.lease.last_renewal().is_none() {
-                        other.lease.fall_back();
+                        other.lease.return_to_watching();
                     }
                     let claims_after_ms = match self.fault {
                         PlantedFault::HostsPromiseFalsely => SHARD_LEASE_MS,
--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -63,7 +63,7 @@
             self.release(now);
             return;
         }
-        let spaced = now >= self.last_commit + self.times.commit_every_ms || self.urgent_waits;
+        let spaced = now >= self.last_commit + self.times.commit_interval_ms || self.urgent_waits;
         let due = (records_wait && spaced) || self.lease.wants_renewal(now);
         if held && due {
             self.commit_buffer(now);
@@ -117,7 +117,7 @@
 
     /// Treats a transaction that was not answered in time as one of unknown outcome.
     fn check_overdue(&mut self, now: Millis) {
-        let patience = self.times.answer_ms;
+        let patience = self.times.answer_timeout_ms;
         let Some(pending) = &mut self.pending else {
             return;
         };
@@ -173,7 +173,7 @@
             }
         } else if asked.is_some() && read.version > pending.request.expect {
             let held = *self.lease.stage() != LeaseStage::Claiming;
-            self.lease.fall_back();
+            self.lease.return_to_watching();
             self.lease.note_read(now, read);
             self.forget_ownership();
             if held {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -56,7 +56,7 @@
 pub use recovery::{decode_snapshot, encode_snapshot, SnapshotError};
 pub use row::{RowVersion, ShardRow, StoredRow};
 pub use session::WorkerSession;
-pub use slices::{QuotaRow, QuotaSlice, SliceKeeper, SlicePlan, SliceStep};
+pub use slices::{QuotaRow, QuotaSlice, SlicePlan, SliceStep, SliceTracker};
 pub use state::{
     JobState, RecordEffect, RecordStats, RequeueCause, ShardState, TaskStage, TaskState,
 };
--- a/crates/lease/src/members.rs
+++ b/crates/lease/src/members.rs
@@ -44,7 +44,7 @@
     }
 
     /// Notes that `host` was heard of.
-    pub fn note_heard(&mut self, now: Millis, host: &HostId, stopping: bool) {
+    pub fn note_alive(&mut self, now: Millis, host: &HostId, stopping: bool) {
         if *host != self.own && !self.gone.contains(host) {
             self.heard
                 .insert(host.clone(), HeardHost { at: now, stopping });
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -255,7 +255,7 @@
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let asked = self
             .read_since
-            .is_some_and(|since| now < since + self.times.answer_ms);
+            .is_some_and(|since| now < since + self.times.answer_timeout_ms);
         if !watching || asked || now < self.next_read {
             return;
         }
@@ -265,7 +265,7 @@
 
     pub(crate) fn ask_row(&mut self, now: Millis) {
         self.read_since = Some(now);
-        self.next_ask = now + self.times.answer_ms;
+        self.next_ask = now + self.times.answer_timeout_ms;
         self.counts.row_reads += 1;
         self.actions.push(ShardAction::ReadRow);
     }
@@ -300,7 +300,7 @@
         if asked || now < self.next_load {
             return;
         }
-        self.next_load = now + self.times.answer_ms;
+        self.next_load = now + self.times.answer_timeout_ms;
         self.loading_since = Some(now);
         let row = &self.lease.row().expect("a claimed shard has its row").row;
         self.actions.push(ShardAction::LoadState {
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// Names what does not hold.
-    pub fn verify_whole(&self) -> Result<(), String> {
+    pub fn verify_all(&self) -> Result<(), String> {
         self.verify()?;
         for worker in self.pool.workers() {
             let over = self.pool.overfull(worker);
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -77,7 +77,7 @@
     }
 
     /// What a team's tasks hold here and what those that wait next would hold, too.
-    pub fn quota_wish(&self, team: &TeamId) -> ResourceSize {
+    pub fn quota_demand(&self, team: &TeamId) -> ResourceSize {
         const LOOKED_AT: usize = 64;
         let mut wish = self.quotas.held(team);
         for urgent in [true, false] {
--- a/crates/lease/src/ownership.rs
+++ b/crates/lease/src/ownership.rs
@@ -209,7 +209,7 @@
     }
 
     /// Gives up the shard, or the attempt to claim it; the row has to be read anew.
-    pub fn fall_back(&mut self) {
+    pub fn return_to_watching(&mut self) {
         self.stage = LeaseStage::Watching;
         self.seen = None;
     }
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -124,7 +124,7 @@
 
     /// When the worker is next asked if there is nothing new: at the period, or just after the next expected end.
     fn next_look(&self, now: Millis, times: &LeaseTimes) -> Millis {
-        let period = now + times.order_every_ms;
+        let period = now + times.order_interval_ms;
         let ends = self.expected_ends.values().filter(|at| **at > now);
         ends.min()
             .map_or(period, |end| period.min(end + AFTER_END_MS))
@@ -223,7 +223,7 @@
         self.acknowledged
             .retain(|attempt| !flight.acknowledged.contains(attempt));
         if !flight.starts.is_empty() {
-            self.next_inventory = self.next_inventory.min(now + times.order_every_ms);
+            self.next_inventory = self.next_inventory.min(now + times.order_interval_ms);
         }
         if flight.inventory {
             self.fenced = true;
@@ -249,14 +249,14 @@
     /// Takes in that the message under way was refused, or that nothing is known of it.
     pub fn note_lost(&mut self, now: Millis, times: &LeaseTimes) {
         self.flight = None;
-        self.next_send = now + times.answer_ms;
+        self.next_send = now + times.answer_timeout_ms;
     }
 
     /// Whether the message under way has waited too long for its answer.
     pub fn is_overdue(&self, now: Millis, times: &LeaseTimes) -> bool {
         self.flight
             .as_ref()
-            .is_some_and(|flight| now >= flight.sent + times.answer_ms)
+            .is_some_and(|flight| now >= flight.sent + times.answer_timeout_ms)
     }
 
     fn note_stamp(&mut self, now: Millis, stamp: Millis) {
--- a/crates/lease/src/slices.rs
+++ b/crates/lease/src/slices.rs
@@ -103,12 +103,12 @@
 
 /// One owner's dealings with its slice of one team's quota.
 #[derive(Clone, Debug, Default)]
-pub struct SliceKeeper {
+pub struct SliceTracker {
     known: u64,
     lowered: Option<(u64, ResourceSize)>,
 }
 
-impl SliceKeeper {
+impl SliceTracker {
     /// Plans on a row as read with its version; a row older than what is known says nothing.
     ///
     /// After a smaller slice was sent to be written, no more than that is used until the row has moved on: the write may
--- a/crates/lease/src/times.rs
+++ b/crates/lease/src/times.rs
@@ -19,11 +19,11 @@
     /// The most by which two monotonic clocks drift apart over these durations.
     pub drift_ms: Millis,
     /// How long an answer is waited for before the message counts as lost.
-    pub answer_ms: Millis,
+    pub answer_timeout_ms: Millis,
     /// How often a worker is sent orders when there is nothing new.
-    pub order_every_ms: Millis,
+    pub order_interval_ms: Millis,
     /// The least time between two durable writes of a shard, unless urgent work waits.
-    pub commit_every_ms: Millis,
+    pub commit_interval_ms: Millis,
     /// A snapshot is made after so many records.
     pub records_per_snapshot: u64,
     /// How much later each further candidate claims a shard that is free.
@@ -38,9 +38,9 @@
             task_lease_ms,
             renewal_grace_ms,
             drift_ms: (task_lease_ms + renewal_grace_ms) / 200 + 50,
-            answer_ms: ANSWER_MS,
-            order_every_ms: task_lease_ms / 4,
-            commit_every_ms: 50,
+            answer_timeout_ms: ANSWER_MS,
+            order_interval_ms: task_lease_ms / 4,
+            commit_interval_ms: 50,
             records_per_snapshot: RECORDS_PER_SNAPSHOT,
             stagger_ms: shard_lease_ms / 2,
         }
--- a/crates/lease/tests/corners.rs
+++ b/crates/lease/tests/corners.rs
@@ -120,7 +120,7 @@
         .expect("the task starts elsewhere");
     let waited = world.now - cut_at;
     assert!(
-        waited >= TIMES.task_lease_ms - TIMES.order_every_ms,
+        waited >= TIMES.task_lease_ms - TIMES.order_interval_ms,
         "{waited}"
     );
     finish(&mut world, &wanted);
--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -22,9 +22,9 @@
     task_lease_ms: 1_000,
     renewal_grace_ms: 1_000,
     drift_ms: 20,
-    answer_ms: 300,
-    order_every_ms: 300,
-    commit_every_ms: 10,
+    answer_timeout_ms: 300,
+    order_interval_ms: 300,
+    commit_interval_ms: 10,
     records_per_snapshot: 12,
     stagger_ms: 100,
 };
--- a/crates/lease/tests/slices.rs
+++ b/crates/lease/tests/slices.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sandshelf_cases::cases;
-use sandshelf_lease::{QuotaRow, SliceKeeper, SlicePlan};
+use sandshelf_lease::{QuotaRow, SlicePlan, SliceTracker};
 use sandshelf_model::{ResourceSize, ShardId};
 
 const QUOTA: ResourceSize = ResourceSize::new(10_000, 10_000, 4);
@@ -35,7 +35,7 @@
         let mut row = QuotaRow::default();
         let mut version = 0_u64;
         let mut epochs = [1_u64; 4];
-        let mut keepers: [SliceKeeper; 4] = Default::default();
+        let mut keepers: [SliceTracker; 4] = Default::default();
         let mut read: Vec<(u64, QuotaRow)> = vec![(0, row.clone()); 4];
         let mut used: BTreeMap<usize, ResourceSize> = BTreeMap::new();
         let mut sent: Vec<SentWrite> = Vec::new();
@@ -45,7 +45,7 @@
                 0 => {
                     // A new owner: it uses nothing until its epoch stands in the row.
                     epochs[number] += 1;
-                    keepers[number] = SliceKeeper::default();
+                    keepers[number] = SliceTracker::default();
                     used.remove(&number);
                 }
                 1..6 => read[number] = (version, row.clone()),
--- a/crates/lease/tests/support/world/mod.rs
+++ b/crates/lease/tests/support/world/mod.rs
@@ -40,9 +40,9 @@
     task_lease_ms: 3_000,
     renewal_grace_ms: 8_000,
     drift_ms: 120,
-    answer_ms: 400,
-    order_every_ms: 700,
-    commit_every_ms: 40,
+    answer_timeout_ms: 400,
+    order_interval_ms: 700,
+    commit_interval_ms: 40,
     records_per_snapshot: 12,
     stagger_ms: 300,
 };
@@ -335,7 +335,7 @@
             .get_mut(shard)
             .expect("every host has every shard");
         let actions = owner.handle(local, event);
-        if let Err(problem) = owner.verify_whole() {
+        if let Err(problem) = owner.verify_all() {
             panic!(
                 "seed {} at {}: {host} {shard}: {problem}",
                 self.seed, self.now
--- a/crates/sandshelfd/src/control.rs
+++ b/crates/sandshelfd/src/control.rs
@@ -22,7 +22,7 @@
 
 use sandshelf_config::DaemonSettings;
 use sandshelf_lease::{
-    ConfigView, HeadRow, MemberTable, ShardEvent, ShardOwner, ShardRoom, SliceKeeper,
+    ConfigView, HeadRow, MemberTable, ShardEvent, ShardOwner, ShardRoom, SliceTracker,
 };
 use sandshelf_model::{HostId, Millis, ServiceId, ShardId, WorkerId};
 use sandshelf_peer::{serve_peers, HostNews, PeerHandler};
@@ -160,7 +160,7 @@
     drains: BTreeSet<String>,
     view: (u64, SlotView),
     view_writing: bool,
-    keepers: BTreeMap<quota::SliceName, SliceKeeper>,
+    keepers: BTreeMap<quota::SliceName, SliceTracker>,
     entry_written: bool,
     quiet_since: Millis,
     known_candidates: usize,
--- a/crates/sandshelfd/src/control/quota.rs
+++ b/crates/sandshelfd/src/control/quota.rs
@@ -77,7 +77,7 @@
         version: u64,
         row: &QuotaRow,
     ) {
-        let wanted = self.owners[&name.shard].quota_wish(&name.team);
+        let wanted = self.owners[&name.shard].quota_demand(&name.team);
         let unused = wanted == ResourceSize::default() && !row.slices.contains_key(&name.shard);
         if unused {
             return;
--- a/crates/sandshelfd/src/control/view.rs
+++ b/crates/sandshelfd/src/control/view.rs
@@ -121,7 +121,7 @@
 
     /// Takes in another host's news, whoever called.
     pub(super) fn on_peer(&mut self, now: Millis, news: HostNews) {
-        self.members.note_heard(now, &news.host, news.stopping);
+        self.members.note_alive(now, &news.host, news.stopping);
         if news.view_version > self.view.1.version {
             self.due.rows = 0;
         }
--- a/crates/sandshelfd/src/jobs/owner/claim.rs
+++ b/crates/sandshelfd/src/jobs/owner/claim.rs
@@ -70,7 +70,9 @@
                 self.lease.note_read(now, row);
             }
             // While the store is out nobody can renew: what was seen before says nothing about the owner.
-            Err(_) if *self.lease.stage() == LeaseStage::Watching => self.lease.fall_back(),
+            Err(_) if *self.lease.stage() == LeaseStage::Watching => {
+                self.lease.return_to_watching()
+            }
             Err(_) => {}
         }
     }
--- a/crates/sandshelfd/src/jobs/owner/release.rs
+++ b/crates/sandshelfd/src/jobs/owner/release.rs
@@ -22,7 +22,7 @@
         self.owned = None;
         self.waiting_batch = None;
         self.rank = HostStrength::of(&self.settings).draw_rank();
-        self.lease.fall_back();
+        self.lease.return_to_watching();
         if self.stop_by.is_some() {
             self.released = true;
         }
--- a/crates/sandshelfd/src/jobs/owner/tenure.rs
+++ b/crates/sandshelfd/src/jobs/owner/tenure.rs
@@ -72,7 +72,7 @@
         let waits = |since: Millis| now >= since + READ_SOON_MS;
         let troubled = self.store.health.is_failing() || self.reading.is_some_and(waits);
         if troubled && *self.lease.stage() == LeaseStage::Watching {
-            self.lease.fall_back();
+            self.lease.return_to_watching();
         }
         let _ = reply.send(ShardSight {
             epoch: self.lease.newest_epoch(),
