--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -1,4 +1,4 @@
-//! Durable writes: groups of records, lost answers, takeover and release, snapshots.
+//! Performs a shard's durable writes: record groups, claim and release, snapshots, and retries after lost answers.
 
 use std::sync::Arc;
 
@@ -13,32 +13,36 @@
 use crate::row::{RowVersion, ShardRow, StoredRow};
 use crate::state::{RecordEffect, ShardState, TaskStage};
 
-/// The most records in one transaction.
-const MOST_RECORDS: usize = 2_000;
-/// The most journal rows that one transaction deletes.
-const MOST_TRIMMED: u64 = 100;
+/// The maximum number of journal records in one transaction.
+const MAX_RECORDS_PER_COMMIT: usize = 2_000;
+/// The maximum number of journal rows that one transaction deletes.
+const MAX_TRIMMED_PER_COMMIT: u64 = 100;
 
-/// The transaction under way; there is at most one.
+/// The transaction in progress; there is at most one.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCommit {
     request: CommitRequest,
     first_sent: Millis,
+    /// When it was last sent.
     sent: Millis,
-    /// The outcome is unknown and the row is being read to learn it.
+    /// The outcome is unknown; the row is read to find out.
     checking: bool,
 }
 
-/// A snapshot on its way to the object store.
+/// The progress of writing snapshots to the object store.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SnapshotWork {
+pub(crate) struct SnapshotProgress {
+    /// Records committed since the last snapshot was encoded.
     records: u64,
-    under_way: Option<(String, Sequence)>,
+    /// The digest and sequence of the snapshot that is being stored.
+    in_progress: Option<(String, Sequence)>,
+    /// The digest and sequence of a stored snapshot that the row doesn't name yet.
     stored: Option<(String, Sequence)>,
 }
 
-impl SnapshotWork {
+impl SnapshotProgress {
     pub(crate) fn note_stored(&mut self, digest: &str, stored: bool) {
-        let Some((expected, sequence)) = self.under_way.take() else {
+        let Some((expected, sequence)) = self.in_progress.take() else {
             return;
         };
         if expected == digest && stored {
@@ -48,7 +52,7 @@
 }
 
 impl ShardOwner {
-    /// Writes what has gathered, or renews the lease, where it is time for that.
+    /// Commits the buffered records, renews the lease or releases the shard, whichever is due.
     pub(crate) fn flush(&mut self, now: Millis) {
         self.check_overdue(now);
         if self.pending.is_some() {
@@ -63,7 +67,7 @@
             self.release(now);
             return;
         }
-        let spaced = now >= self.last_commit + self.times.commit_interval_ms || self.urgent_waits;
+        let spaced = now >= self.last_commit + self.times.commit_interval_ms || self.urgent_pending;
         let due = (records_wait && spaced) || self.lease.wants_renewal(now);
         if held && due {
             self.commit_buffer(now);
@@ -71,7 +75,7 @@
     }
 
     fn commit_buffer(&mut self, now: Millis) {
-        let count = self.buffer.len().min(MOST_RECORDS);
+        let count = self.buffer.len().min(MAX_RECORDS_PER_COMMIT);
         let records: Vec<JournalRecord> = self.buffer.drain(..count).collect();
         let token = self.next_token();
         let (expect, mut row) = self.lease.next_row(token);
@@ -79,7 +83,7 @@
             row.snapshot = Some(digest);
             row.snapshot_sequence = sequence;
         }
-        self.urgent_waits = false;
+        self.urgent_pending = false;
         self.send_commit(now, expect, row, records);
     }
 
@@ -91,7 +95,9 @@
         records: Vec<JournalRecord>,
     ) {
         let trim_from = row.trimmed_sequence;
-        let trim_to = row.snapshot_sequence.min(trim_from + MOST_TRIMMED);
+        let trim_to = row
+            .snapshot_sequence
+            .min(trim_from + MAX_TRIMMED_PER_COMMIT);
         row.trimmed_sequence = trim_to.max(trim_from);
         let request = CommitRequest {
             expect,
@@ -115,17 +121,19 @@
         });
     }
 
-    /// Treats a transaction that was not answered in time as one of unknown outcome.
+    /// Reads the row to find out the outcome of a transaction that was not answered within the timeout.
     fn check_overdue(&mut self, now: Millis) {
-        let patience = self.times.answer_timeout_ms;
+        let timeout_ms = self.times.answer_timeout_ms;
         let Some(pending) = &mut self.pending else {
             return;
         };
-        if !pending.checking && now >= pending.sent + patience {
+        if !pending.checking && now >= pending.sent + timeout_ms {
             pending.checking = true;
         }
-        let asked = self.read_since.is_some_and(|since| now < since + patience);
-        if pending.checking && !asked && now >= self.next_ask {
+        let asked = self
+            .row_read_since
+            .is_some_and(|since| now < since + timeout_ms);
+        if pending.checking && !asked && now >= self.next_row_read {
             self.ask_row(now);
         }
     }
@@ -140,31 +148,31 @@
         match answer {
             CommitAnswer::Committed { version } => self.complete(now, version),
             CommitAnswer::Conflict | CommitAnswer::Unknown => {
-                // A conflict may be with this very write, where its first answer was lost.
+                // A conflict may be caused by this same write, where it took effect and its first answer was lost.
                 pending.checking = true;
-                self.read_since = None;
+                self.row_read_since = None;
             }
         }
     }
 
     pub(crate) fn on_row(&mut self, now: Millis, read: StoredRow) {
-        let asked = self.read_since.take();
+        let asked = self.row_read_since.take();
         if let Some(asked) = asked {
             self.lease.note_read_time(now.saturating_sub(asked));
         }
         let Some(pending) = &mut self.pending else {
             if self.lease.note_read(now, read) {
-                self.lose();
+                self.lose_shard();
             }
             return;
         };
         if read.row.token == pending.request.row.token {
             self.complete(now, read.version);
         } else if read.version == pending.request.expect {
-            // Only a read that was asked for after the write was sent can tell that it has not arrived.
-            let tells = asked.is_some_and(|asked| asked >= pending.sent);
-            if pending.checking && tells {
-                // The same conditional write may be sent again: at most one of the two can take effect.
+            // Only a read that was requested after the write was sent can show that the write has not taken effect.
+            let conclusive = asked.is_some_and(|asked| asked >= pending.sent);
+            if pending.checking && conclusive {
+                // The same conditional write can be retried: at most one of the two can take effect.
                 pending.checking = false;
                 pending.sent = now;
                 let request = pending.request.clone();
@@ -182,7 +190,7 @@
         }
     }
 
-    fn lose(&mut self) {
+    fn lose_shard(&mut self) {
         self.forget_ownership();
         self.note(ShardNote::Lost);
     }
@@ -206,7 +214,7 @@
             self.note(ShardNote::Released);
             return;
         }
-        if request.records.iter().any(takes_from_inbox) {
+        if request.records.iter().any(removes_inbox_entry) {
             self.first_valid_inbox_read = self.inbox_read_number + 1;
         }
         for record in &request.records {
@@ -218,7 +226,7 @@
     fn apply_committed(&mut self, now: Millis, record: &JournalRecord) {
         let placed_before = self.placed_before(record);
         if let JournalRecord::JobAdded { job, .. } = record {
-            // A job that is declared anew may wait in another list from now on.
+            // The new declaration of a job may assign its tasks to another list of waiting tasks.
             self.unqueue_job(&job.name);
         }
         let effect = self.state.apply(record);
@@ -262,7 +270,7 @@
             JournalRecord::Revised { .. } | JournalRecord::JobDropped { .. } => {}
         }
         for (worker, attempt) in placed_before {
-            self.stop_if_moved_on(&worker, &attempt);
+            self.stop_if_superseded(&worker, &attempt);
         }
     }
 
@@ -300,14 +308,14 @@
 
     fn snapshot_if_due(&mut self, records: u64, sequence: Sequence) {
         self.snapshot.records += records;
-        let busy = self.snapshot.under_way.is_some() || self.snapshot.stored.is_some();
+        let busy = self.snapshot.in_progress.is_some() || self.snapshot.stored.is_some();
         if busy || self.snapshot.records < self.times.records_per_snapshot {
             return;
         }
         let bytes = encode_snapshot(&self.state);
         let digest = content_digest(&bytes);
         self.snapshot.records = 0;
-        self.snapshot.under_way = Some((digest.clone(), sequence));
+        self.snapshot.in_progress = Some((digest.clone(), sequence));
         self.actions.push(ShardAction::StoreSnapshot {
             digest,
             bytes: Arc::new(bytes),
@@ -371,8 +379,8 @@
         }
     }
 
-    /// For how long workers that this owner could not reach may still run what it or an earlier one renewed.
-    fn remaining_silence(&self, now: Millis) -> Millis {
+    /// For how many milliseconds from `now` unreachable workers may still run tasks that this or an earlier owner renewed.
+    fn remaining_silence_ms(&self, now: Millis) -> Millis {
         let own = self.times.task_lease_ms + self.times.drift_ms;
         let unreached = self.sessions.values().filter(|session| !session.fenced);
         unreached
@@ -380,7 +388,7 @@
             .fold(own, Millis::max)
     }
 
-    /// Releases the shard; comes before renewals, or those would put it off for ever where the store is slow.
+    /// Releases the shard. A release takes precedence over renewals, which would defer it forever on a slow store.
     fn release(&mut self, now: Millis) {
         if *self.lease.stage() != LeaseStage::Holding {
             return;
@@ -388,13 +396,13 @@
         let token = self.next_token();
         let (expect, mut row) = self.lease.next_row(token);
         row.owner = None;
-        row.silence_ms = self.remaining_silence(now);
+        row.silence_ms = self.remaining_silence_ms(now);
         self.send_commit(now, expect, row, Vec::new());
     }
 }
 
-/// Whether a record takes an entry out of the inbox.
-fn takes_from_inbox(record: &JournalRecord) -> bool {
+/// Whether a record's transaction removes an entry from the inbox.
+fn removes_inbox_entry(record: &JournalRecord) -> bool {
     matches!(
         record,
         JournalRecord::Adopted { .. } | JournalRecord::InboxDropped { .. }
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner is told, what it asks for, and what it has to say.
+//! The events that a shard owner handles, the actions that it returns, and its log notes and counts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,46 +14,46 @@
 use crate::orders::{WorkerOrders, WorkerReport};
 use crate::row::StoredRow;
 
-/// What an owner is told.
+/// An event for [`ShardOwner::handle`](crate::ShardOwner::handle).
 #[derive(Clone, Debug)]
 pub enum ShardEvent {
-    /// Time has passed.
+    /// Time has passed; nothing else happened.
     Tick,
     /// The shard's row was read.
     RowRead(StoredRow),
     /// The row could not be read.
     RowReadFailed,
-    /// A transaction was answered.
+    /// A transaction was answered, or its outcome is unknown.
     CommitAnswered {
-        /// The token of the transaction.
+        /// The token of the transaction's row.
         token: String,
-        /// The answer.
+        /// The outcome as far as it is known.
         answer: CommitAnswer,
     },
     /// The snapshot and the journal after it were read.
     StateLoaded {
-        /// The snapshot's bytes, where the row names one.
+        /// The snapshot's bytes; none where the row names no snapshot.
         snapshot: Option<Vec<u8>>,
-        /// The journal's groups in order.
+        /// The journal's record groups in the order of their sequences.
         groups: Vec<(Sequence, Vec<JournalRecord>)>,
     },
     /// The snapshot or the journal could not be read.
     StateLoadFailed,
-    /// A snapshot was stored, or not.
+    /// An attempt to store a snapshot has ended.
     SnapshotStored {
-        /// Its digest.
+        /// The digest of the snapshot's bytes.
         digest: String,
-        /// Whether it is stored for certain.
+        /// Whether the snapshot is certainly stored; false also where that is unknown.
         stored: bool,
     },
     /// The inbox was read.
     InboxRead {
-        /// The number of the ask that this answers.
+        /// The number of the read, as given in [`ShardAction::ReadInbox`].
         read_number: u64,
-        /// What is in it.
+        /// The inbox's entries.
         handoffs: Vec<TaskHandoff>,
     },
-    /// A worker answered, or did not.
+    /// A worker answered a message, or the call failed.
     WorkerAnswered {
         /// The worker.
         worker: WorkerId,
@@ -61,28 +61,28 @@
         epoch: Epoch,
         /// The number of the message that was answered.
         number: u64,
-        /// The answer; none where nothing is known of the message.
+        /// The answer; none where the call failed, so that it is unknown whether the message arrived.
         report: Option<WorkerReport>,
     },
     /// The platform's list of this shard's workers.
     WorkersListed {
-        /// Workers that are there.
+        /// Workers that are present.
         present: Vec<WorkerEntry>,
-        /// Of those, the ones to be emptied.
+        /// Those of the present workers that are to be drained.
         leaving: BTreeSet<WorkerId>,
-        /// Incarnations that the platform says are gone for good.
+        /// Worker incarnations that the platform reports as gone for good.
         gone: BTreeSet<WorkerId>,
     },
     /// The configuration in force, and the shards that share its tasks.
     Configured {
-        /// Its revision.
+        /// The configuration's revision.
         revision: Revision,
-        /// The set.
+        /// The configuration.
         set: Arc<ConfigSet>,
-        /// Every shard, the same at every host.
+        /// All shards; has to be the same list at every host.
         shards: Arc<Vec<ShardId>>,
     },
-    /// How much room other shards have, for tasks that find none here.
+    /// The free capacity of other shards, for tasks for which this shard has none.
     RoomReceived(Vec<ShardRoom>),
     /// This shard's slice of a team's quota.
     QuotaSliceUpdated {
@@ -91,35 +91,35 @@
         /// The slice.
         slice: ResourceSize,
     },
-    /// A late measurement of a service on a worker.
+    /// A measurement of a service's slowdown on a worker; it may be late.
     SlowdownMeasured {
         /// The worker.
         worker: WorkerId,
         /// The measurement.
         sample: PairSample,
     },
-    /// Evict an attempt, as a policy of the driver's own asks; one that could not resume or run again is left alone.
+    /// A policy of the caller requests the eviction of an attempt; one that can neither resume nor run again is left alone.
     EvictRequested(AttemptId),
-    /// This host's place among the candidates for the shard; none where it must not claim it.
+    /// This host's position among the candidates for the shard, from 0; none where it must not claim the shard.
     RankUpdated(Option<u32>),
-    /// Hand the shard over: commit what is open, then release.
+    /// Give up the shard: commit the buffered records, then release it.
     Release,
 }
 
-/// Room in a shard, as its owner tells it.
+/// The capacity of a shard, as its owner publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRoom {
     /// The shard.
     pub shard: ShardId,
-    /// The most that one of its workers could hold if it were empty.
+    /// The largest capacity that its workers have without tasks, taken in each dimension separately.
     pub capacity: ResourceSize,
-    /// The most that is free on one of its workers.
+    /// The free capacity of the worker with the most free processors.
     pub largest: ResourceSize,
-    /// Free processors over all of its workers, in thousandths of a core.
+    /// Free processors summed over all of its workers, in thousandths of a core.
     pub cpu_millis: u64,
 }
 
-/// What an owner asks for.
+/// An action that the caller of a shard owner has to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
     /// Read the shard's row.
@@ -128,11 +128,11 @@
     Commit(CommitRequest),
     /// Read the snapshot and the journal.
     LoadState {
-        /// The snapshot's digest.
+        /// The snapshot's digest; none where there is no snapshot.
         snapshot: Option<String>,
-        /// Groups after this sequence,
+        /// The sequence after which journal groups are read (exclusive).
         after: Sequence,
-        /// up to and with this one.
+        /// The sequence up to which journal groups are read (inclusive).
         to: Sequence,
     },
     /// Store a snapshot's bytes under its digest.
@@ -144,7 +144,7 @@
     },
     /// Read the inbox.
     ReadInbox {
-        /// To be given back with the answer.
+        /// The number of the read; to be returned in [`ShardEvent::InboxRead`].
         read_number: u64,
     },
     /// Send a message to a worker.
@@ -158,31 +158,31 @@
     Note(ShardNote),
 }
 
-/// An event worth a line in the log.
+/// An event to be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardNote {
     /// This host has claimed the shard under a new epoch.
     Claimed(Epoch),
-    /// The shard's state has been read; counts tasks that were placed.
+    /// The shard's state has been recovered from snapshot and journal.
     Recovered {
         /// Attempts that an earlier owner placed.
         placed: usize,
     },
-    /// Another host has the shard.
+    /// Another host has claimed the shard.
     Lost,
     /// The shard was released.
     Released,
-    /// An attempt was placed, after its task had waited so long.
+    /// An attempt was placed on this worker, after its task had waited for this many milliseconds.
     Placed(AttemptId, WorkerId, Millis),
     /// A task finished.
     Finished(AttemptId),
     /// An attempt was evicted.
     Evicted(AttemptId),
-    /// A task was given up.
+    /// A task was given up for this reason.
     GaveUp(TaskId, String),
-    /// A worker was closed because tasks fail there.
+    /// A worker was quarantined because tasks fail there.
     Quarantined(WorkerId),
-    /// An invariant is broken; the owner has stopped.
+    /// This invariant was violated; the owner ignores all further events.
     InvariantBroken(String),
 }
 
@@ -190,20 +190,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// Its turn has not come.
+    /// The task has not been examined yet; other waiting tasks come first.
     Turn,
-    /// Its team's slice of the quota is used up.
+    /// This shard's slice of its team's quota is used up.
     Quota,
-    /// No open worker has room.
+    /// No open worker has enough free capacity.
     Room,
-    /// The store does not answer, so that no start can be recorded.
+    /// The store does not answer, so no start can be recorded.
     Store,
-    /// Its placement is being recorded.
+    /// Its placement is being committed.
     Recording,
 }
 
 impl WaitReason {
-    /// The reason in words for the operator.
+    /// The reason as text for the operator.
     pub fn text(self) -> &'static str {
         match self {
             WaitReason::Turn => "its turn has not come",
@@ -217,30 +217,30 @@
     }
 }
 
-/// Counts for metrics and for bounds in tests.
+/// Counts of an owner's operations, for metrics and for bounds in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OwnerCounts {
-    /// Transactions sent, renewals among them.
+    /// Transactions sent, including renewals and retries.
     pub commits: u64,
-    /// Transactions that carried no record.
+    /// Transactions without records: renewals, claims and releases.
     pub renewals: u64,
-    /// Records written.
+    /// Records sent in transactions; retries are not counted.
     pub records: u64,
     /// Messages sent to workers.
     pub messages: u64,
-    /// Reads of the row.
+    /// Reads of the shard's row.
     pub row_reads: u64,
-    /// Throttle orders.
+    /// Orders to throttle an attempt.
     pub throttles: u64,
 }
 
-/// Why a running attempt is where it is.
+/// Why an attempt was placed on its worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlacedReason {
-    /// The slowdown predicted for the services there, minus one.
+    /// The predicted slowdown factor of the services on that worker, minus 1.
     pub predicted: f64,
-    /// How many workers were looked at.
+    /// How many workers were compared.
     pub looked_at: usize,
-    /// When it was decided.
+    /// When the placement was decided.
     pub at: Millis,
 }
--- a/crates/lease/src/head.rs
+++ b/crates/lease/src/head.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force on one entry host.
+//! The configuration that is in force on one entry host.
 
 use std::sync::Arc;
 
@@ -6,31 +6,31 @@
 use sandshelf_model::Revision;
 use serde::{Deserialize, Serialize};
 
-/// The one row that says which configuration was accepted last.
+/// The head row: names the configuration that was accepted last. There is one for all hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// Counts accepted configurations; 0 before the first.
+    /// The number of accepted configurations; 0 before the first.
     pub revision: Revision,
-    /// The digest of the set, the key of its object.
+    /// The digest of the configuration's bytes, which is the key of its object.
     pub digest: String,
-    /// Unique to the write, so that a lost answer can be told from a lost write.
+    /// Unique to each write, to tell a lost answer from a lost write.
     pub token: String,
-    /// Who applied it, as the operator's command says.
+    /// Who applied the configuration, as given to the operator's command.
     pub operator: String,
 }
 
-/// What to do about a head that was heard of.
+/// What to do about a head that was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeadVerdict {
-    /// It is newer: fetch its set.
+    /// The head is newer than the one in force: fetch its configuration.
     Fetch(HeadRow),
-    /// It is in force already.
+    /// The head is already in force.
     InForce,
-    /// It is older than what is in force, and is ignored.
+    /// The head is older than the one in force and is ignored.
     Older,
 }
 
-/// The configuration in force; it only goes up in revision.
+/// The configuration in force; its revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     head: HeadRow,
@@ -38,17 +38,17 @@
 }
 
 impl ConfigView {
-    /// The head in force.
+    /// The head in force; the default (revision 0) before the first configuration.
     pub fn head(&self) -> &HeadRow {
         &self.head
     }
 
-    /// The set in force; none before the first was taken in.
+    /// The configuration in force; none before the first.
     pub fn set(&self) -> Option<&Arc<ConfigSet>> {
         self.set.as_ref()
     }
 
-    /// Judges a head heard of from the table or a peer.
+    /// Compares a head that was read from the store or received from a peer with the one in force.
     pub fn judge(&self, head: &HeadRow) -> HeadVerdict {
         match head.revision.cmp(&self.head.revision) {
             std::cmp::Ordering::Greater => HeadVerdict::Fetch(head.clone()),
@@ -57,7 +57,9 @@
         }
     }
 
-    /// Puts a set in force where its bytes are the head's and the head is newer; says whether it did.
+    /// Puts a configuration in force if the head is newer, the bytes match its digest and they can be decoded.
+    ///
+    /// Returns whether it is now in force.
     pub fn put_in_force(&mut self, head: &HeadRow, bytes: &[u8]) -> bool {
         if head.revision <= self.head.revision {
             return false;
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in configurations, handed-off tasks and the platform's list of workers.
+//! Applies configurations, adopts handed-off tasks, applies the platform's list of workers and queues waiting tasks.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::session::WorkerSession;
 use crate::state::TaskStage;
 
-/// The shard that a task belongs to until it is handed off.
+/// The shard that a task belongs to until it is handed off, chosen by rendezvous hashing; none where `shards` is empty.
 pub fn home_shard<'a>(job: &JobId, index: u32, shards: &'a [ShardId]) -> Option<&'a ShardId> {
     shards.iter().max_by_key(|shard| {
         let score = rendezvous_score(job.as_str(), u64::from(index), shard.as_str());
@@ -44,8 +44,8 @@
         self.config = Some((revision, set, shards));
     }
 
-    /// Turns a newer configuration into records.
-    pub(crate) fn take_in_config(&mut self) {
+    /// Buffers the records that bring the shard's state to a newer configuration.
+    pub(crate) fn apply_config(&mut self) {
         let Some((revision, set, shards)) = self.config.clone() else {
             return;
         };
@@ -54,7 +54,7 @@
             return;
         }
         for spec in &set.jobs {
-            self.take_in_job(spec, &shards);
+            self.record_job(spec, &shards);
         }
         let declared: BTreeSet<&JobId> = set.jobs.iter().map(|spec| &spec.name).collect();
         let undeclared: Vec<JobId> = self
@@ -68,10 +68,10 @@
             self.retire_job(&job);
         }
         self.buffer.push(JournalRecord::Revised { revision });
-        self.urgent_waits = true;
+        self.urgent_pending = true;
     }
 
-    fn take_in_job(&mut self, spec: &JobSpec, shards: &[ShardId]) {
+    fn record_job(&mut self, spec: &JobSpec, shards: &[ShardId]) {
         let known = self.state.jobs.get(&spec.name);
         if known.is_some_and(|job_state| *job_state.spec == *spec) {
             return;
@@ -81,20 +81,20 @@
         if tasks.is_empty() && known.is_none() {
             return;
         }
-        self.end_tasks_beyond(spec);
+        self.end_excess_tasks(spec);
         self.buffer.push(JournalRecord::JobAdded {
             job: spec.clone(),
             tasks,
         });
     }
 
-    /// Ends the tasks that a job which is declared anew no longer has.
-    fn end_tasks_beyond(&mut self, spec: &JobSpec) {
+    /// Ends the open tasks beyond the task count of a job's new declaration.
+    fn end_excess_tasks(&mut self, spec: &JobSpec) {
         let Some(job_state) = self.state.jobs.get(&spec.name) else {
             return;
         };
-        let beyond = job_state.tasks.range(spec.tasks..);
-        let open: Vec<u32> = beyond
+        let excess = job_state.tasks.range(spec.tasks..);
+        let open: Vec<u32> = excess
             .filter(|(_, task_state)| !task_state.stage.is_over())
             .map(|(index, _)| *index)
             .collect();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Cancels what is left of a job that is no longer declared; forgets it where nothing is.
+    /// Cancels the open tasks of a job that is no longer declared, and drops the job.
     fn retire_job(&mut self, job: &JobId) {
         let over = self
             .state
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Whether this host owns the shard and no write is under way.
+    /// Whether this host owns the shard and no commit is in progress.
     fn is_settled(&self) -> bool {
         *self.lease.stage() == LeaseStage::Holding && self.pending.is_none()
     }
@@ -159,7 +159,7 @@
         set.is_some_and(|set| set.jobs.iter().any(|spec| &spec.name == job))
     }
 
-    pub(crate) fn on_listed(
+    pub(crate) fn on_workers_listed(
         &mut self,
         present: Vec<WorkerEntry>,
         leaving: BTreeSet<WorkerId>,
@@ -183,13 +183,13 @@
         }
         let leaving: Vec<WorkerId> = self.leaving.iter().cloned().collect();
         for worker in leaving {
-            self.empty_worker(&worker);
+            self.drain_worker(&worker);
         }
     }
 
     pub(crate) fn add_worker(&mut self, entry: &WorkerEntry) {
         self.add_session(&entry.worker);
-        let reported = self.sessions[&entry.worker].reported;
+        let reported = self.sessions[&entry.worker].reported_capacity;
         let mut entry = entry.clone();
         entry.capacity = reported.unwrap_or(entry.capacity);
         self.pool.upsert(&entry);
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Closes a worker that is to be emptied and evicts what can be checkpointed.
-    fn empty_worker(&mut self, worker: &WorkerId) {
+    /// Closes a worker that is to be drained, and evicts its confirmed attempts that can be checkpointed.
+    fn drain_worker(&mut self, worker: &WorkerId) {
         self.pool.set_open(worker, false);
         let Some(session) = self.sessions.get_mut(worker) else {
             return;
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Puts a task in the queue.
+    /// Adds a task to the queue if it is waiting.
     pub(crate) fn enqueue(&mut self, now: Millis, task: &TaskId) {
         let waits = self
             .state
@@ -243,14 +243,14 @@
             return;
         }
         let key = self.pending_key(&spec);
-        self.urgent_waits |= key.urgent;
+        self.urgent_pending |= key.urgent;
         self.queue.insert(&key, task);
         self.waiting_since.entry(task.clone()).or_insert(now);
     }
 
-    /// Takes a task out of the queue.
+    /// Removes a task from the queue.
     pub(crate) fn unqueue(&mut self, task: &TaskId) {
-        self.waiting.remove(task);
+        self.wait_reasons.remove(task);
         self.waiting_since.remove(task);
         if let Some(spec) = self.state.spec(&task.job).cloned() {
             let key = self.pending_key(&spec);
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Takes every task of a job out of the queue.
+    /// Removes every task of a job from the queue.
     pub(crate) fn unqueue_job(&mut self, job: &JobId) {
         let Some(job_state) = self.state.jobs.get(job) else {
             return;
@@ -273,7 +273,7 @@
         }
     }
 
-    /// The attempts that a record is about to take off their workers.
+    /// The attempts, with their workers, that are placed before `record` is applied and that it may end.
     pub(crate) fn placed_before(&self, record: &JournalRecord) -> Vec<(WorkerId, AttemptId)> {
         match record {
             JournalRecord::Cancelled { job } => self.placed_of(job, None),
@@ -303,8 +303,8 @@
         placed
     }
 
-    /// Stops an attempt that its task no longer counts; its room stays held until the worker says that it ended.
-    pub(crate) fn stop_if_moved_on(&mut self, worker: &WorkerId, attempt: &AttemptId) {
+    /// Stops an attempt that is no longer placed; its capacity stays held until the worker reports its end.
+    pub(crate) fn stop_if_superseded(&mut self, worker: &WorkerId, attempt: &AttemptId) {
         if self.state.current_worker(attempt).is_some() {
             return;
         }
--- a/crates/lease/src/journal.rs
+++ b/crates/lease/src/journal.rs
@@ -1,4 +1,4 @@
-//! What is written durably: records in groups, one transaction for each group.
+//! The journal's records and the transactions that write them, one group of records per transaction.
 
 use sandshelf_config::JobSpec;
 use sandshelf_model::{AttemptId, JobId, Revision, Sequence, ShardId, TaskId, WorkerId};
@@ -7,23 +7,23 @@
 use crate::row::{RowVersion, ShardRow};
 use crate::state::{RequeueCause, TaskState};
 
-/// One durable fact about batch work.
+/// One durable change of a shard's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JournalRecord {
-    /// The configuration up to this revision has been taken in.
+    /// The configuration of this revision has been applied.
     Revised {
         /// The revision.
         revision: Revision,
     },
-    /// A job has become known, with the tasks that are this shard's.
+    /// A job was declared, or its declaration has changed.
     JobAdded {
         /// The job as declared.
         job: JobSpec,
-        /// This shard's tasks.
+        /// The positions of the tasks that belong to this shard.
         tasks: Vec<u32>,
     },
-    /// An attempt may be started on a worker; written before the start is sent.
+    /// An attempt was placed on a worker; committed before the start is sent.
     Placed {
         /// The attempt.
         attempt: AttemptId,
@@ -34,12 +34,12 @@
     Requeued {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Why the attempt ended.
         cause: RequeueCause,
-        /// The checkpoint to resume from, where there is one.
+        /// The key of the checkpoint to resume from; none where the attempt left no new one.
         checkpoint: Option<String>,
     },
-    /// An attempt has finished; it alone counts.
+    /// An attempt has finished; no other attempt of its task counts.
     Finished {
         /// The attempt.
         attempt: AttemptId,
@@ -50,10 +50,10 @@
     Failed {
         /// The task.
         task: TaskId,
-        /// Why, for the operator.
+        /// The reason, for the operator.
         reason: String,
     },
-    /// Every task of a job that has not finished is cancelled.
+    /// Every open task of a job is cancelled.
     Cancelled {
         /// The job.
         job: JobId,
@@ -62,59 +62,60 @@
     Unplaceable {
         /// The task.
         task: TaskId,
-        /// Why, for the operator.
+        /// The reason, for the operator.
         reason: String,
     },
-    /// A waiting task now belongs to another shard; the same transaction puts it into that shard's inbox.
+    /// A waiting task now belongs to another shard; the same transaction adds it to that shard's inbox.
     HandedOff {
         /// The shard that it now belongs to.
         to: ShardId,
-        /// The task as the other shard takes it in.
+        /// The task as the other shard will adopt it.
         handoff: Box<TaskHandoff>,
     },
-    /// A task that another shard handed off; the same transaction takes it out of the inbox.
+    /// A task was adopted that another shard handed off; the same transaction removes it from the inbox.
     Adopted {
-        /// The task as the other shard left it.
+        /// The task as the other shard handed it off.
         handoff: Box<TaskHandoff>,
     },
-    /// An inbox entry of a job that is no longer declared; the same transaction takes it out of the inbox.
+    /// An inbox entry is discarded because its job is no longer declared; the same transaction removes it from the inbox.
     InboxDropped {
         /// The task.
         task: TaskId,
     },
-    /// A job that is no longer declared, and of which nothing is left to do, is forgotten.
+    /// A job is forgotten that is no longer declared and has no open tasks.
     JobDropped {
         /// The job.
         job: JobId,
     },
 }
 
-/// One transaction: it takes effect whole, and only where the shard's row still has the expected version.
+/// One transaction: it takes effect completely or not at all, and only while the shard's row has the expected version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommitRequest {
-    /// The version that the shard's row has to have; 0 where the row must not be there.
+    /// The version that the shard's row must have; 0 where the row must not exist.
     pub expect: RowVersion,
     /// The new row; its token is unique to this request.
     pub row: ShardRow,
-    /// The records, stored under the row's sequence; none for a mere renewal.
+    /// The records, stored under the row's sequence; empty for a renewal, claim or release.
     pub records: Vec<JournalRecord>,
-    /// Journal rows after this sequence,
+    /// Journal rows after this sequence (exclusive) are deleted, because the snapshot covers them.
     pub trim_from: Sequence,
-    /// up to and with this one, are covered by the snapshot and are deleted.
+    /// Journal rows up to this sequence (inclusive) are deleted.
     pub trim_to: Sequence,
 }
 
-/// A waiting task on its way to another shard.
+/// A waiting task that is handed off to another shard, as stored in that shard's inbox.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskHandoff {
     /// The job as declared.
     pub job: JobSpec,
     /// The task's position within the job.
     pub index: u32,
-    /// The task as it was left.
+    /// The task's state when it was handed off.
     #[serde(rename = "cell")]
     pub state: TaskState,
-    /// The configuration that the sender had taken in; the receiver waits until it has as new a one.
+    /// The configuration revision that the sender had applied; the receiver adopts the task only once it has applied this
+    /// revision or a newer one.
     pub revision: Revision,
 }
 
@@ -128,16 +129,16 @@
     }
 }
 
-/// What is known of a transaction that was sent.
+/// The outcome of a transaction that was sent, as far as it is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitAnswer {
-    /// It took effect; the row has this version.
+    /// It took effect.
     Committed {
         /// The row's new version.
         version: RowVersion,
     },
-    /// It did not take effect and never will: the row had another version.
+    /// The row had another version, so this send of the transaction did not take effect and never will.
     Conflict,
-    /// No answer came; it may have taken effect or may yet.
+    /// No answer arrived; it may have taken effect or may still do so.
     Unknown,
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,13 +1,14 @@
 //! Shard ownership, journal, task leases and recovery as a sans-I/O library.
 //!
-//! A [`ShardOwner`] is one entry host's view of one shard. It takes events with the time and returns actions;
-//! it opens no socket and reads no clock. Three fences keep a task from running twice:
+//! A [`ShardOwner`] is one entry host's state machine for one shard. The caller passes it events with the current time
+//! and executes the actions that it returns; it opens no socket and reads no clock. Three fences prevent a task from
+//! running twice:
 //!
-//! 1. every durable write is conditional on the version of the shard's row ([`ShardRow`]);
-//! 2. every order to a worker carries the owner's epoch and a number, and a worker refuses what is not newer
-//!    than the newest that it has seen ([`WorkerOrders`]);
-//! 3. leases count from before the message that renews them was sent; a worker's lease counts from the stamp
-//!    that the worker itself issued, so that a delayed order can't prolong it.
+//! 1. Every durable write is conditional on the version of the shard's row ([`ShardRow`]).
+//! 2. Every message to a worker carries the owner's epoch and a message number. A worker refuses a message that is not
+//!    newer than the newest one it has seen ([`WorkerOrders`]).
+//! 3. A lease starts before the message that renews it is sent. A worker's task lease starts at the stamp that the
+//!    worker itself issued, so a delayed message can't prolong it.
 //!
 //! ```
 //! use sandshelf_lease::{LeaseTimes, ShardAction, ShardEvent, ShardOwner};
--- a/crates/lease/src/members.rs
+++ b/crates/lease/src/members.rs
@@ -1,39 +1,39 @@
-//! Which entry hosts are there, as far as one of them hears, and whose turn it is to claim a shard.
+//! The entry hosts that one host has recently heard from, and their ranking for claims of a shard.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sandshelf_model::{rendezvous_score, HostId, Millis, ShardId};
 
-/// Hosts not heard of for so long don't count when shards are claimed; safety never rests on it.
-const SILENT_AFTER_MS: Millis = 3_000;
+/// A host that was not heard from for this many milliseconds is not a candidate for claims. Safety doesn't depend on it.
+const HOST_SILENT_AFTER_MS: Millis = 3_000;
 
 #[derive(Clone, Copy, Debug)]
-struct HeardHost {
+struct SeenHost {
     at: Millis,
     stopping: bool,
 }
 
-/// Entry hosts by when they were last heard of.
+/// The entry hosts with the time at which each was last heard from.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: HostId,
     stopping: bool,
-    heard: BTreeMap<HostId, HeardHost>,
+    last_seen: BTreeMap<HostId, SeenHost>,
     gone: BTreeSet<HostId>,
 }
 
 impl MemberTable {
-    /// Knows only the host itself.
+    /// Creates a table that knows only the host itself.
     pub fn new(own: HostId) -> Self {
         Self {
             own,
             stopping: false,
-            heard: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             gone: BTreeSet::new(),
         }
     }
 
-    /// Notes that this host is stopping and wants no shard.
+    /// Records that this host is stopping, so that it claims no more shards.
     pub fn note_stopping(&mut self) {
         self.stopping = true;
     }
@@ -43,17 +43,17 @@
         self.stopping
     }
 
-    /// Notes that `host` was heard of.
+    /// Records that `host` is alive; ignored for hosts that are gone for good and for this host.
     pub fn note_alive(&mut self, now: Millis, host: &HostId, stopping: bool) {
         if *host != self.own && !self.gone.contains(host) {
-            self.heard
-                .insert(host.clone(), HeardHost { at: now, stopping });
+            self.last_seen
+                .insert(host.clone(), SeenHost { at: now, stopping });
         }
     }
 
-    /// Notes that `host` is gone for good; returns whether that was news.
+    /// Records that `host` is gone for good; returns false if that was known.
     pub fn note_gone(&mut self, host: &HostId) -> bool {
-        self.heard.remove(host);
+        self.last_seen.remove(host);
         self.gone.insert(host.clone())
     }
 
@@ -62,10 +62,10 @@
         self.gone.iter()
     }
 
-    /// The hosts that want shards: this one unless it is stopping, and those heard of lately.
+    /// The candidates for claims, sorted: this host and those heard from recently, without hosts that are stopping.
     pub fn candidates(&self, now: Millis) -> Vec<&HostId> {
-        let lately = |heard: &HeardHost| !heard.stopping && now < heard.at + SILENT_AFTER_MS;
-        let others = self.heard.iter().filter(|(_, heard)| lately(heard));
+        let is_recent = |seen: &SeenHost| !seen.stopping && now < seen.at + HOST_SILENT_AFTER_MS;
+        let others = self.last_seen.iter().filter(|(_, seen)| is_recent(seen));
         let mut hosts: Vec<&HostId> = others.map(|(host, _)| host).collect();
         if !self.stopping {
             hosts.push(&self.own);
@@ -74,9 +74,9 @@
         hosts
     }
 
-    /// This host's place among the candidates for a shard, from 0; none while it is stopping.
+    /// This host's position among the candidates for a shard, from 0; none while it is stopping.
     ///
-    /// The shard's owner doesn't count: the shard is only free to be claimed when its owner no longer renews it.
+    /// The shard's owner is not counted: the shard can only be claimed once its owner no longer renews the lease.
     pub fn rank(&self, now: Millis, shard: &ShardId, owner: Option<&HostId>) -> Option<u32> {
         if self.stopping {
             return None;
--- a/crates/lease/src/orders.rs
+++ b/crates/lease/src/orders.rs
@@ -1,120 +1,120 @@
 //! Messages between a shard's owner and a worker.
 //!
-//! The worker's side of these rules is assumed of the platform's lease interface and written down in docs/PLATFORM.md.
+//! The worker's side of these rules is an assumption about the platform's lease interface; see docs/PLATFORM.md.
 
 use sandshelf_model::{AttemptId, Epoch, Millis, ResourceSize, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// Starts one attempt.
+/// An order to start one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// The attempt; a worker that knows it already starts nothing.
+    /// The attempt; a worker that already knows it ignores the order.
     pub attempt: AttemptId,
-    /// What the worker has to set aside.
+    /// The resources that the worker has to reserve.
     pub size: ResourceSize,
-    /// What to run.
+    /// The program to run.
     pub program: String,
-    /// The checkpoint to resume from.
+    /// The key of the checkpoint to resume from; none to start from the beginning.
     pub checkpoint: Option<String>,
-    /// Whether it can be checkpointed.
+    /// Whether the attempt can be checkpointed.
     pub checkpointable: bool,
-    /// The declared run time.
+    /// The declared run time, in milliseconds.
     pub run_ms: Millis,
 }
 
-/// One order about one attempt.
+/// An order that concerns one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOrder {
-    /// Start it.
+    /// Start the attempt.
     Start(StartOrder),
-    /// Checkpoint it and stop it.
+    /// Checkpoint the attempt and stop it.
     Checkpoint(AttemptId),
-    /// Stop it without a checkpoint.
+    /// Stop the attempt without a checkpoint.
     Stop(AttemptId),
-    /// Run it at this percentage of its speed.
+    /// Run the attempt at this percentage of its full speed.
     Throttle(AttemptId, u32),
 }
 
-/// One message to a worker; it renews the leases of all that runs there.
+/// One message to a worker; it renews the leases of all attempts that run there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerOrders {
     /// The shard that the worker belongs to.
     pub shard: ShardId,
-    /// The owner's epoch; a worker refuses one lower than the highest that it has seen.
+    /// The owner's epoch; a worker refuses a message whose epoch is lower than the highest it has seen.
     pub epoch: Epoch,
-    /// Grows with each message of an epoch; a worker refuses one that is not higher than the last.
+    /// Increases with each message of an epoch; a worker refuses a message whose number is not higher than the last.
     pub number: u64,
     /// The newest stamp that the worker issued to this owner; 0 before the first.
     pub stamp: Millis,
-    /// The lease, counted from the stamp.
+    /// The duration of the task leases, in milliseconds from the stamp.
     pub lease_ms: Millis,
-    /// Whether the answer has to list what still runs, too.
+    /// Whether the answer also has to list running attempts.
     pub inventory: bool,
-    /// Attempts whose end is durable; the worker may forget them.
+    /// Attempts whose end is durable, so that the worker may forget them.
     pub acknowledged: Vec<AttemptId>,
-    /// Orders, in order.
+    /// The orders, to be executed in this sequence.
     pub orders: Vec<TaskOrder>,
 }
 
-/// Why a worker refused a whole message.
+/// Why a worker refused a message; none of its orders was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderRefusal {
-    /// A newer owner has been here, or a newer message of the same owner.
+    /// The worker has seen a newer owner, or a newer message of the same owner.
     Outdated,
-    /// The stamp is unknown or so old that the lease would already be over; nothing but the epoch was taken in.
+    /// The stamp is unknown, or so old that the lease would already have expired. The worker recorded only the epoch.
     StampExpired,
 }
 
-/// How far an attempt is.
+/// The phase that an attempt has reached on its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptPhase {
-    /// It runs.
+    /// It is running.
     Running,
-    /// It finished; its outputs are under this key.
+    /// It finished; its outputs are stored under this key.
     Finished(String),
     /// It failed by itself.
     Failed,
-    /// It was stopped, and its checkpoint is under this key.
+    /// It was stopped; its checkpoint is stored under this key.
     Checkpointed(String),
-    /// It was stopped without a checkpoint, or its lease ran out.
+    /// It was stopped without a checkpoint, or its lease expired.
     Stopped,
-    /// It was never started: the worker had no room.
+    /// It was never started, because the worker had no free capacity.
     Refused,
 }
 
-/// One attempt as its worker sees it.
+/// One attempt as its worker reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptReport {
     /// The attempt.
     pub attempt: AttemptId,
-    /// How far it is.
+    /// The phase that it has reached.
     pub phase: AttemptPhase,
-    /// What was set aside for it.
+    /// The resources that are reserved for it.
     pub size: ResourceSize,
-    /// What it uses, as of some time ago.
+    /// The resources that it uses; the measurement may be delayed.
     pub usage: ResourceSize,
-    /// How long it has run.
+    /// How long it has run, in milliseconds.
     pub ran_ms: Millis,
 }
 
-/// A worker's answer.
+/// A worker's answer to a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
     /// The highest epoch that the worker has seen.
     pub epoch: Epoch,
-    /// The worker's own time, to be sent back with the next message.
+    /// The worker's own clock, to be sent back with the next message.
     pub stamp: Millis,
-    /// Set where the message was refused whole.
+    /// Why the message was refused; none where it was accepted.
     pub refusal: Option<OrderRefusal>,
-    /// All that the worker has; it can come back smaller.
+    /// The worker's total capacity; it can be smaller when the worker comes back.
     pub capacity: ResourceSize,
-    /// Whether running attempts are listed, too.
+    /// Whether running attempts are also listed.
     pub inventory: bool,
-    /// How many attempts run.
+    /// The number of running attempts.
     pub running: u32,
-    /// Attempts that have ended and were not acknowledged; with an inventory, those that run, too.
+    /// Attempts that have ended and were not acknowledged; with an inventory also the running attempts.
     pub attempts: Vec<AttemptReport>,
 }
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -1,7 +1,7 @@
-//! One entry host's dealings with one shard: events in, actions out.
+//! The state machine of one entry host for one shard: handles events and returns actions.
 //!
-//! The parts: [`crate::commit`] writes durably, [`crate::intake`] takes in configurations and handed-off tasks,
-//! [`crate::placing`] chooses workers, [`crate::reports`] deals with what workers answer.
+//! Its methods are split by topic: [`crate::commit`] performs durable writes, [`crate::intake`] handles configurations,
+//! handed-off tasks and worker lists, [`crate::placing`] chooses workers, [`crate::reports`] handles worker reports.
 
 mod verify;
 mod view;
@@ -19,7 +19,7 @@
     WorkerPool,
 };
 
-use crate::commit::{PendingCommit, SnapshotWork};
+use crate::commit::{PendingCommit, SnapshotProgress};
 use crate::events::{
     OwnerCounts, PlacedReason, ShardAction, ShardEvent, ShardNote, ShardRoom, WaitReason,
 };
@@ -29,26 +29,27 @@
 use crate::state::ShardState;
 use crate::times::LeaseTimes;
 
-/// How often a watcher reads the row, as a part of the shard lease.
-const READS_PER_LEASE: u64 = 6;
-/// How often the inbox is read, in milliseconds.
-const INBOX_EVERY_MS: Millis = 1_000;
+/// How many times per shard lease a watching host reads the shard's row.
+const ROW_READS_PER_LEASE: u64 = 6;
+/// Interval between reads of the inbox of handed-off tasks, in milliseconds.
+const INBOX_READ_INTERVAL_MS: Millis = 1_000;
 
-/// Room and quota that an attempt holds.
+/// The worker capacity and team quota that are held for one attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldRoom {
+pub(crate) struct AttemptHold {
     pub(crate) worker: WorkerId,
     pub(crate) team: TeamId,
     pub(crate) size: ResourceSize,
 }
 
-/// One entry host's view of one shard.
+/// One entry host's state machine for one shard, whether the host owns the shard or only watches it.
 #[derive(Clone)]
 pub struct ShardOwner {
     pub(crate) shard: ShardId,
     pub(crate) host: HostId,
     pub(crate) times: LeaseTimes,
     pub(crate) lease: ShardLease,
+    /// This host's position among the candidates for the shard, from 0; none where it must not claim the shard.
     pub(crate) rank: Option<u32>,
     pub(crate) state: ShardState,
     pub(crate) pool: WorkerPool,
@@ -57,41 +58,59 @@
     pub(crate) families: FamilyPrior,
     pub(crate) gauge: PressureGauge,
     pub(crate) sessions: BTreeMap<WorkerId, WorkerSession>,
+    /// Workers as the platform lists them.
     pub(crate) listed: BTreeMap<WorkerId, WorkerEntry>,
+    /// Workers that the platform wants drained.
     pub(crate) leaving: BTreeSet<WorkerId>,
+    /// Worker incarnations that are gone for good.
     pub(crate) gone: BTreeSet<WorkerId>,
     pub(crate) config: Option<(Revision, Arc<ConfigSet>, Arc<Vec<ShardId>>)>,
+    /// Free capacity of the other shards, as last published.
     pub(crate) rooms: Vec<ShardRoom>,
+    /// Records that wait for the next commit.
     pub(crate) buffer: Vec<JournalRecord>,
+    /// Tasks whose removal from the inbox is buffered or being committed.
     pub(crate) adopting: BTreeSet<TaskId>,
+    /// Attempts whose end is buffered or being committed.
     pub(crate) ending: BTreeSet<AttemptId>,
+    /// Tasks whose placement, hand-off or end as unplaceable is buffered or being committed.
     pub(crate) placing: BTreeSet<TaskId>,
+    /// The commit in progress.
     pub(crate) pending: Option<PendingCommit>,
-    pub(crate) snapshot: SnapshotWork,
+    pub(crate) snapshot: SnapshotProgress,
     pub(crate) last_commit: Millis,
-    pub(crate) urgent_waits: bool,
+    /// Whether the next commit must not wait for the commit interval.
+    pub(crate) urgent_pending: bool,
     pub(crate) claimed_at: Millis,
+    /// For how long after the claim an unreachable worker may run tasks that an earlier owner renewed.
     pub(crate) silence_ms: Millis,
     pub(crate) loading_since: Option<Millis>,
     pub(crate) releasing: bool,
-    pub(crate) next_read: Millis,
-    pub(crate) next_ask: Millis,
+    pub(crate) next_watch_read: Millis,
+    pub(crate) next_row_read: Millis,
     pub(crate) next_load: Millis,
     pub(crate) next_handoff: Millis,
-    pub(crate) read_since: Option<Millis>,
+    /// When the row read in progress was requested.
+    pub(crate) row_read_since: Option<Millis>,
+    /// The number of the newest inbox read.
     pub(crate) inbox_read_number: u64,
+    /// Inbox reads with lower numbers may show entries that have been removed since.
     pub(crate) first_valid_inbox_read: u64,
     pub(crate) next_inbox: Millis,
-    pub(crate) waiting: BTreeMap<TaskId, WaitReason>,
+    pub(crate) wait_reasons: BTreeMap<TaskId, WaitReason>,
     pub(crate) waiting_since: HashMap<TaskId, Millis>,
-    pub(crate) reasons: HashMap<AttemptId, PlacedReason>,
+    pub(crate) placed_reasons: HashMap<AttemptId, PlacedReason>,
+    /// Per list of waiting tasks, the last task examined when the list was not examined to its end.
     pub(crate) cursors: BTreeMap<PendingKey, TaskId>,
-    pub(crate) held: HashMap<AttemptId, HeldRoom>,
+    pub(crate) held: HashMap<AttemptId, AttemptHold>,
+    /// Per task, the worker on which it last failed.
     pub(crate) avoid: HashMap<TaskId, WorkerId>,
-    pub(crate) tokens: u64,
-    pub(crate) turn: usize,
+    pub(crate) token_count: u64,
+    /// Rotates over the shards that a task may be handed to.
+    pub(crate) handoff_rotation: usize,
     pub(crate) counts: OwnerCounts,
     pub(crate) actions: Vec<ShardAction>,
+    /// An invariant was violated; all further events are ignored.
     broken: bool,
 }
 
@@ -107,7 +126,9 @@
 }
 
 impl ShardOwner {
-    /// Starts out watching `shard` from `host`; equal seeds give equal choices.
+    /// Creates the state machine of `host` for `shard`; it starts by watching the shard.
+    ///
+    /// `seed` initializes the random choice of workers: equal seeds and events give equal choices.
     pub fn new(shard: ShardId, host: HostId, times: LeaseTimes, seed: u64) -> Self {
         Self {
             lease: ShardLease::new(host.clone(), times),
@@ -132,36 +153,38 @@
             ending: BTreeSet::new(),
             placing: BTreeSet::new(),
             pending: None,
-            snapshot: SnapshotWork::default(),
+            snapshot: SnapshotProgress::default(),
             last_commit: 0,
-            urgent_waits: false,
+            urgent_pending: false,
             claimed_at: 0,
             silence_ms: 0,
             loading_since: None,
             releasing: false,
-            next_read: 0,
-            next_ask: 0,
+            next_watch_read: 0,
+            next_row_read: 0,
             next_load: 0,
             next_handoff: 0,
-            read_since: None,
+            row_read_since: None,
             inbox_read_number: 0,
             first_valid_inbox_read: 0,
             next_inbox: 0,
-            waiting: BTreeMap::new(),
+            wait_reasons: BTreeMap::new(),
             waiting_since: HashMap::new(),
-            reasons: HashMap::new(),
+            placed_reasons: HashMap::new(),
             cursors: BTreeMap::new(),
             held: HashMap::new(),
             avoid: HashMap::new(),
-            tokens: 0,
-            turn: 0,
+            token_count: 0,
+            handoff_rotation: 0,
             counts: OwnerCounts::default(),
             actions: Vec::new(),
             broken: false,
         }
     }
 
-    /// Takes in one event and returns what to do.
+    /// Handles one event and returns the actions to execute.
+    ///
+    /// After an invariant was violated it returns no actions any more.
     pub fn handle(&mut self, now: Millis, event: ShardEvent) -> Vec<ShardAction> {
         if self.broken {
             return Vec::new();
@@ -187,7 +210,7 @@
         match event {
             ShardEvent::Tick => {}
             ShardEvent::RowRead(read) => self.on_row(now, read),
-            ShardEvent::RowReadFailed => self.read_since = None,
+            ShardEvent::RowReadFailed => self.row_read_since = None,
             ShardEvent::CommitAnswered { token, answer } => self.on_commit(now, &token, answer),
             ShardEvent::StateLoaded { snapshot, groups } => {
                 self.on_loaded(now, snapshot.as_deref(), &groups)
@@ -205,12 +228,12 @@
                 epoch,
                 number,
                 report,
-            } => self.on_worker(now, &worker, epoch, number, report),
+            } => self.on_worker_answer(now, &worker, epoch, number, report),
             ShardEvent::WorkersListed {
                 present,
                 leaving,
                 gone,
-            } => self.on_listed(present, leaving, gone),
+            } => self.on_workers_listed(present, leaving, gone),
             ShardEvent::Configured {
                 revision,
                 set,
@@ -227,7 +250,7 @@
         }
     }
 
-    /// Does what one worker's answer may call for, without a look at every worker.
+    /// Commits and sends what one worker's answer may require, without scanning every worker.
     fn follow_up(&mut self, now: Millis, worker: &WorkerId) {
         self.flush(now);
         if self.may_send(now) {
@@ -235,15 +258,15 @@
         }
     }
 
-    /// Does whatever is due by now.
+    /// Performs everything that is due at `now`.
     fn advance(&mut self, now: Millis) {
         self.watch_row(now);
         self.claim_if_free(now);
         self.load_if_claimed(now);
         if *self.lease.stage() == LeaseStage::Holding {
-            self.take_in_config();
+            self.apply_config();
             self.read_inbox(now);
-            self.retire_lapsed(now);
+            self.reclaim_expired(now);
             self.place_waiting(now);
             self.hand_off_waiting(now);
         }
@@ -254,18 +277,18 @@
     fn watch_row(&mut self, now: Millis) {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let asked = self
-            .read_since
+            .row_read_since
             .is_some_and(|since| now < since + self.times.answer_timeout_ms);
-        if !watching || asked || now < self.next_read {
+        if !watching || asked || now < self.next_watch_read {
             return;
         }
-        self.next_read = now + self.times.shard_lease_ms / READS_PER_LEASE;
+        self.next_watch_read = now + self.times.shard_lease_ms / ROW_READS_PER_LEASE;
         self.ask_row(now);
     }
 
     pub(crate) fn ask_row(&mut self, now: Millis) {
-        self.read_since = Some(now);
-        self.next_ask = now + self.times.answer_timeout_ms;
+        self.row_read_since = Some(now);
+        self.next_row_read = now + self.times.answer_timeout_ms;
         self.counts.row_reads += 1;
         self.actions.push(ShardAction::ReadRow);
     }
@@ -293,10 +316,10 @@
         if *self.lease.stage() != LeaseStage::Recovering {
             return;
         }
-        let patience = self.times.shard_lease_ms;
+        let timeout_ms = self.times.shard_lease_ms;
         let asked = self
             .loading_since
-            .is_some_and(|since| now < since + patience);
+            .is_some_and(|since| now < since + timeout_ms);
         if asked || now < self.next_load {
             return;
         }
@@ -314,7 +337,7 @@
         if now < self.next_inbox {
             return;
         }
-        self.next_inbox = now + INBOX_EVERY_MS;
+        self.next_inbox = now + INBOX_READ_INTERVAL_MS;
         self.inbox_read_number += 1;
         self.actions.push(ShardAction::ReadInbox {
             read_number: self.inbox_read_number,
@@ -336,7 +359,7 @@
         }
     }
 
-    /// Whether workers may be sent anything: the grace is not over and the shard is not being released.
+    /// Whether messages may be sent to workers: the renewal grace is not over and the shard is not being released.
     fn may_send(&self, now: Millis) -> bool {
         self.lease.may_renew_tasks(now) && !self.releasing
     }
@@ -347,7 +370,7 @@
             return;
         };
         if session.is_overdue(now, &self.times) {
-            session.note_lost(now, &self.times);
+            session.note_failed(now, &self.times);
         }
         if !session.is_due(now) {
             return;
@@ -365,8 +388,8 @@
     }
 
     pub(crate) fn next_token(&mut self) -> String {
-        self.tokens += 1;
-        format!("{}:{}:{}", self.host, self.shard, self.tokens)
+        self.token_count += 1;
+        format!("{}:{}:{}", self.host, self.shard, self.token_count)
     }
 
     pub(crate) fn pending_key(&self, spec: &JobSpec) -> PendingKey {
@@ -376,7 +399,7 @@
         }
     }
 
-    /// Drops all that only an owner may keep.
+    /// Drops all state that only the shard's owner may keep.
     pub(crate) fn forget_ownership(&mut self) {
         self.state = ShardState::default();
         self.queue = PendingQueue::default();
@@ -385,20 +408,20 @@
         self.adopting.clear();
         self.ending.clear();
         self.placing.clear();
-        self.waiting.clear();
+        self.wait_reasons.clear();
         self.waiting_since.clear();
-        self.reasons.clear();
+        self.placed_reasons.clear();
         self.cursors.clear();
         self.avoid.clear();
         self.pending = None;
-        self.snapshot = SnapshotWork::default();
+        self.snapshot = SnapshotProgress::default();
         self.loading_since = None;
         self.releasing = false;
         self.drop_all_holds();
         self.rebuild_pool();
     }
 
-    /// Empties the pool of reservations but keeps what was learned.
+    /// Releases all reservations in the worker pool and closes its workers, but keeps its learned estimates.
     pub(crate) fn rebuild_pool(&mut self) {
         let workers: Vec<WorkerId> = self.pool.workers().cloned().collect();
         for worker in workers {
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -1,4 +1,4 @@
-//! What an owner shows of itself.
+//! Read access to a shard owner's state, and settings for measurements.
 
 use sandshelf_model::{AttemptId, Epoch, Millis, ResourceSize, ShardId, TaskId, TeamId, WorkerId};
 use sandshelf_place::{
@@ -18,7 +18,7 @@
         &self.shard
     }
 
-    /// How this host stands to the shard.
+    /// The host's ownership stage for the shard.
     pub fn stage(&self) -> &LeaseStage {
         self.lease.stage()
     }
@@ -28,7 +28,7 @@
         self.lease.is_valid(now)
     }
 
-    /// The epoch of the row as last seen.
+    /// The epoch of the row as last seen; 0 where no row was seen.
     pub fn epoch(&self) -> Epoch {
         self.lease.row().map_or(0, |seen| seen.row.epoch)
     }
@@ -43,49 +43,54 @@
         &self.state
     }
 
-    /// The workers and what is reserved on them.
+    /// The workers and their reservations.
     pub fn pool(&self) -> &WorkerPool {
         &self.pool
     }
 
-    /// Dealings with a worker.
+    /// The session with a worker.
     pub fn session(&self, worker: &WorkerId) -> Option<&WorkerSession> {
         self.sessions.get(worker)
     }
 
-    /// Counts.
+    /// Counts of commits, messages and other operations.
     pub fn counts(&self) -> &OwnerCounts {
         &self.counts
     }
 
-    /// Why a waiting task waits.
+    /// Why a waiting task waits: [`WaitReason::Store`] for all tasks while the ownership lease is not valid.
     pub fn wait_reason(&self, now: Millis, task: &TaskId) -> WaitReason {
         if !self.lease.is_valid(now) {
             return WaitReason::Store;
         }
-        self.waiting.get(task).copied().unwrap_or(WaitReason::Turn)
+        self.wait_reasons
+            .get(task)
+            .copied()
+            .unwrap_or(WaitReason::Turn)
     }
 
-    /// Why an attempt is where it is, where this host placed it.
+    /// Why an attempt was placed on its worker; none where an earlier owner placed it.
     pub fn placed_reason(&self, attempt: &AttemptId) -> Option<&PlacedReason> {
-        self.reasons.get(attempt)
+        self.placed_reasons.get(attempt)
     }
 
-    /// The teams' slices and what is held under them.
+    /// The teams' quota slices and how much of them is held.
     pub fn quotas(&self) -> &QuotaLedger {
         &self.quotas
     }
 
-    /// What a team's tasks hold here and what those that wait next would hold, too.
+    /// The quota that a team needs in this shard: what its placed attempts hold plus the size of its next waiting tasks.
+    ///
+    /// Counts at most 64 waiting tasks of each urgency.
     pub fn quota_demand(&self, team: &TeamId) -> ResourceSize {
-        const LOOKED_AT: usize = 64;
+        const MAX_WAITING_TASKS: usize = 64;
         let mut wish = self.quotas.held(team);
         for urgent in [true, false] {
             let key = PendingKey {
                 urgent,
                 team: team.clone(),
             };
-            for task in self.queue.tasks_after(&key, None, LOOKED_AT) {
+            for task in self.queue.tasks_after(&key, None, MAX_WAITING_TASKS) {
                 let size = self.state.spec(&task.job).map(|spec| spec.size);
                 wish = wish.plus(&size.unwrap_or_default()).unwrap_or(wish);
             }
@@ -93,23 +98,25 @@
         wish
     }
 
-    /// How many tasks wait.
+    /// The number of waiting tasks.
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Chooses workers by another strategy; for measurements.
+    /// Sets the strategies for placement and for relief of slowed services; for measurements.
     pub fn set_strategy(&mut self, place: PlaceStrategy, pressure: PressureStrategy) {
         self.pool.set_strategy(place);
         self.gauge.set_strategy(pressure);
     }
 
-    /// Learns a measurement without acting on it; for measurements with what is known beforehand.
+    /// Learns from a sample without acting on it, so that measurements can start with known estimates.
     pub fn learn(&mut self, now: Millis, sample: &PairSample) {
         self.pool.estimate.learn(sample, now);
     }
 
-    /// How much room the shard has, to tell the other shards.
+    /// The shard's free capacity, to be published to the other shards; zero while this host does not hold the shard.
+    ///
+    /// Counts workers that are fenced, not draining and not gone.
     pub fn room(&self) -> ShardRoom {
         let mut room = ShardRoom {
             shard: self.shard.clone(),
--- a/crates/lease/src/ownership.rs
+++ b/crates/lease/src/ownership.rs
@@ -1,30 +1,30 @@
-//! Who owns a shard, as far as one entry host knows.
+//! The ownership lease of a shard, as one entry host knows it from the shard's row.
 //!
-//! The holder counts its lease from before it sent the write that renewed it. A challenger claims only after it has
-//! seen the row unchanged for a whole lease on its own clock, and its claim is conditional on that very version.
+//! The owner's lease starts when it sends the write that renews it. Another host claims the shard only after it has seen
+//! the row unchanged for a whole lease on its own clock, and its claim is conditional on the row's version that it saw.
 
 use sandshelf_model::{Epoch, HostId, Millis};
 
 use crate::row::{RowVersion, ShardRow, StoredRow};
 use crate::times::LeaseTimes;
 
-/// By how many calls' time a lease counts as longer, so that a slow store makes no shard change hands.
-const SLOW_CALLS: u64 = 4;
+/// A lease is extended by this number of recent store call times, so that a slow store alone doesn't change a shard's owner.
+const SLOW_STORE_CALLS: u64 = 4;
 
-/// How an entry host stands to a shard.
+/// An entry host's stage in owning a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseStage {
-    /// Another host owns it, or none does; the row is watched.
+    /// Another host or no host owns the shard; this host watches the row.
     Watching,
-    /// The claim was sent and its answer is awaited.
+    /// This host has sent its claim; the answer is pending.
     Claiming,
     /// The claim took effect; the shard's state is being read.
     Recovering,
-    /// This host owns it.
+    /// This host owns the shard and has read its state.
     Holding,
 }
 
-/// One entry host's view of a shard's row.
+/// One entry host's view of a shard's row, and its own ownership lease.
 #[derive(Clone, Debug)]
 pub struct ShardLease {
     host: HostId,
@@ -34,13 +34,16 @@
     seen_since: Millis,
     newest_epoch: Epoch,
     valid_until: Millis,
-    last_good: Millis,
-    read_ms: Millis,
-    write_ms: Millis,
+    /// When the newest write that took effect was first sent.
+    last_write_sent: Millis,
+    /// The longest recent row read; decays by a quarter with each read.
+    recent_read_ms: Millis,
+    /// The longest recent write; decays by a quarter with each write.
+    recent_write_ms: Millis,
 }
 
 impl ShardLease {
-    /// Starts out watching.
+    /// Creates the lease in stage [`LeaseStage::Watching`], without a row.
     pub fn new(host: HostId, times: LeaseTimes) -> Self {
         Self {
             host,
@@ -50,52 +53,55 @@
             seen_since: 0,
             newest_epoch: 0,
             valid_until: 0,
-            last_good: 0,
-            read_ms: 0,
-            write_ms: 0,
+            last_write_sent: 0,
+            recent_read_ms: 0,
+            recent_write_ms: 0,
         }
     }
 
-    /// How this host stands to the shard.
+    /// This host's stage in owning the shard.
     pub fn stage(&self) -> &LeaseStage {
         &self.stage
     }
 
-    /// The row as last seen or written.
+    /// The row as last read or written; none where it has to be read again.
     pub fn row(&self) -> Option<&StoredRow> {
         self.seen.as_ref()
     }
 
-    /// Whether the store has answered lately, so that it is of use to decide on new starts.
+    /// Whether this host holds the shard and its lease has not expired, so that new placements can be expected to commit.
     ///
-    /// Safety does not rest on it: a decision counts only once its write took effect, which a later owner's claim prevents.
+    /// Safety doesn't depend on it: a placement counts only once its write has taken effect, and a later owner's claim
+    /// prevents that.
     pub fn is_valid(&self, now: Millis) -> bool {
         self.stage == LeaseStage::Holding && now < self.valid_until
     }
 
-    /// Whether task leases may be renewed: within the grace after the last good renewal.
+    /// Whether task leases may be renewed: until the renewal grace after the last successful write has passed.
     pub fn may_renew_tasks(&self, now: Millis) -> bool {
-        self.stage == LeaseStage::Holding && now < self.last_good + self.times.renewal_grace_ms
+        self.stage == LeaseStage::Holding
+            && now < self.last_write_sent + self.times.renewal_grace_ms
     }
 
-    /// When the newest write that took effect was sent; none while the shard isn't held.
+    /// When the newest write that took effect was first sent; none while this host has no claim on the shard.
     pub fn last_renewal(&self) -> Option<Millis> {
         let held = matches!(self.stage, LeaseStage::Holding | LeaseStage::Recovering);
-        held.then_some(self.last_good)
+        held.then_some(self.last_write_sent)
     }
 
-    /// Whether the lease should be renewed by now.
+    /// Whether a third of the lease has passed since the last successful write, so that it should be renewed.
     pub fn wants_renewal(&self, now: Millis) -> bool {
         let held = matches!(self.stage, LeaseStage::Holding | LeaseStage::Recovering);
-        held && now >= self.last_good + self.times.shard_lease_ms / 3
+        held && now >= self.last_write_sent + self.times.shard_lease_ms / 3
     }
 
-    /// The newest epoch that was seen, also where the row has to be read anew.
+    /// The newest epoch that was seen; it is kept where the row has to be read again.
     pub fn newest_epoch(&self) -> Epoch {
         self.newest_epoch
     }
 
-    /// How long this host certainly doesn't claim the shard from now on.
+    /// For how many milliseconds from `now` this host will certainly not claim the shard; 0 where it may claim at any time
+    /// or already has.
     pub fn claims_after(&self, now: Millis) -> Millis {
         let lease = self.times.shard_lease_ms;
         match (&self.stage, &self.seen) {
@@ -107,14 +113,14 @@
         }
     }
 
-    /// Notes how long a read took; where the store is slow, its holder's renewals are slow, too.
+    /// Records the duration of a read. Where the store is slow for this host, the owner's renewals are probably slow, too.
     pub fn note_read_time(&mut self, took: Millis) {
-        self.read_ms = took.max(self.read_ms * 3 / 4);
+        self.recent_read_ms = took.max(self.recent_read_ms * 3 / 4);
     }
 
-    /// Notes the row as read at `now`; a read that shows another owner ends a holding.
+    /// Records the row as read at `now`; a row with another owner returns this host to watching.
     ///
-    /// A read that is older than what is known is ignored. Returns true where this host has just lost the shard.
+    /// A row that is older than the known one is ignored. Returns true if this host has just lost the shard or its claim.
     pub fn note_read(&mut self, now: Millis, read: StoredRow) -> bool {
         let known = self.seen.as_ref().map(|seen| seen.version);
         if known.is_some_and(|known| read.version < known) {
@@ -134,7 +140,9 @@
         held && !own
     }
 
-    /// Says whether the shard may be claimed; `rank` is this host's place among the candidates, from 0.
+    /// Whether this host may claim the shard now; `rank` is its position among the candidates, from 0.
+    ///
+    /// Each further rank waits one stagger time longer, so that candidates don't claim at the same time.
     pub fn may_claim(&self, now: Millis, rank: u32) -> bool {
         if self.stage != LeaseStage::Watching {
             return false;
@@ -147,13 +155,13 @@
             None => 0,
             Some(_) => {
                 let drift = self.times.drift_ms.min(self.times.shard_lease_ms / 8);
-                self.times.shard_lease_ms + drift + self.read_ms * SLOW_CALLS
+                self.times.shard_lease_ms + drift + self.recent_read_ms * SLOW_STORE_CALLS
             }
         };
         now >= self.seen_since + wait + stagger
     }
 
-    /// Makes the row of a claim and moves on to await its answer.
+    /// Builds the row of a claim and enters [`LeaseStage::Claiming`]; returns the row and the version that it expects.
     pub fn begin_claim(&mut self, token: String) -> (RowVersion, ShardRow) {
         let seen = self.seen.clone().expect("a claim follows a read");
         self.stage = LeaseStage::Claiming;
@@ -168,7 +176,7 @@
         (seen.version, row)
     }
 
-    /// Makes the row of the next durable write.
+    /// Builds the row of the owner's next durable write; returns the row and the version that it expects.
     pub fn next_row(&self, token: String) -> (RowVersion, ShardRow) {
         let seen = self.seen.clone().expect("a holder has its row");
         let row = ShardRow {
@@ -179,7 +187,7 @@
         (seen.version, row)
     }
 
-    /// Notes that a write took effect which was first sent at `sent`.
+    /// Records that a write took effect that was first sent at `sent`.
     pub fn note_committed(
         &mut self,
         now: Millis,
@@ -196,19 +204,20 @@
         }
         self.newest_epoch = self.newest_epoch.max(row.epoch);
         self.seen = Some(StoredRow { version, row });
-        self.write_ms = now.saturating_sub(sent).max(self.write_ms * 3 / 4);
-        self.valid_until = sent + self.times.shard_lease_ms + self.write_ms * SLOW_CALLS;
-        self.last_good = sent;
+        self.recent_write_ms = now.saturating_sub(sent).max(self.recent_write_ms * 3 / 4);
+        self.valid_until =
+            sent + self.times.shard_lease_ms + self.recent_write_ms * SLOW_STORE_CALLS;
+        self.last_write_sent = sent;
     }
 
-    /// Notes that the shard's state has been read.
+    /// Records that the shard's state has been read.
     pub fn note_recovered(&mut self) {
         if self.stage == LeaseStage::Recovering {
             self.stage = LeaseStage::Holding;
         }
     }
 
-    /// Gives up the shard, or the attempt to claim it; the row has to be read anew.
+    /// Gives up the shard or the claim without a write; the row has to be read again.
     pub fn return_to_watching(&mut self) {
         self.stage = LeaseStage::Watching;
         self.seen = None;
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -1,4 +1,4 @@
-//! Chooses workers for waiting tasks, and hands on those that find no room here.
+//! Places waiting tasks on workers, hands off tasks for which this shard has no capacity, and relieves slowed services.
 
 use sandshelf_config::{JobSpec, UrgencyLevel};
 use sandshelf_model::{AttemptId, Millis, ResourceSize, ShardId, TaskId, WorkerId};
@@ -9,113 +9,120 @@
 
 use crate::events::{PlacedReason, ShardRoom, WaitReason};
 use crate::journal::{JournalRecord, TaskHandoff};
-use crate::owner::{HeldRoom, ShardOwner};
+use crate::owner::{AttemptHold, ShardOwner};
 use crate::window::FamilyWindow;
 
-/// The most placements decided for one event.
-const MOST_PLACED: usize = 256;
-/// The most waiting tasks looked at for one event.
-const MOST_LOOKED_AT: usize = 1_024;
-/// The most waiting tasks of one team and urgency looked at for one event.
-const MOST_LOOKED_AT_PER_LIST: usize = 128;
-/// The most records that may wait to be written before no more tasks are placed.
-const MOST_BUFFERED: usize = 4_000;
-/// How long a task waits for room here before it may be handed on.
-const HANDOFF_AFTER_MS: Millis = 3_000;
-/// The same for an urgent task.
-const URGENT_HANDOFF_AFTER_MS: Millis = 200;
-/// How often waiting tasks are looked through for ones to hand on.
-const HANDOFF_EVERY_MS: Millis = 100;
-/// The most tasks handed on for one event.
-const MOST_HANDED_OFF: usize = 64;
-/// The speed of a throttled attempt, in percent.
+/// The maximum number of placements decided per event.
+const MAX_PLACED_PER_EVENT: usize = 256;
+/// The maximum number of waiting tasks examined per event.
+const MAX_EXAMINED_PER_EVENT: usize = 1_024;
+/// The maximum number of waiting tasks of one list (one team and urgency) examined per event.
+const MAX_EXAMINED_PER_LIST: usize = 128;
+/// Above this number of buffered records, no further tasks are placed or handed off.
+const MAX_BUFFERED_RECORDS: usize = 4_000;
+/// How long a task waits for capacity in this shard before it may be handed off, in milliseconds; doubles with each hand-off.
+const HANDOFF_WAIT_MS: Millis = 3_000;
+/// How long an urgent task waits for capacity before it may be handed off, in milliseconds; doubles with each hand-off.
+const URGENT_HANDOFF_WAIT_MS: Millis = 200;
+/// Interval between scans for waiting tasks to hand off, in milliseconds.
+const HANDOFF_SCAN_INTERVAL_MS: Millis = 100;
+/// The maximum number of tasks handed off per scan.
+const MAX_HANDED_OFF_PER_SCAN: usize = 64;
+/// The speed of a throttled attempt, in percent of its full speed.
 const THROTTLED_PERCENT: u32 = 40;
-/// The full speed, in percent.
+/// The full speed of an attempt, in percent.
 const FULL_PERCENT: u32 = 100;
 
-/// How much less a task costs for each second that it has waited, so that no family waits for ever.
-const BONUS_PER_SECOND: f64 = 0.003;
+/// Reduction of a task's placement cost per second of waiting, so that no family starves.
+const WAIT_BONUS_PER_SECOND: f64 = 0.003;
 
-/// What one look at a waiting task came to.
-enum LookOutcome {
+/// The result of trying to place one waiting task.
+enum PlacementResult {
     Placed,
     Waits(WaitReason),
+    /// The task is unplaceable or its job is unknown.
     Ended,
 }
 
 impl ShardOwner {
-    /// Places waiting tasks as far as room, quotas and the write buffer go.
+    /// Places waiting tasks as far as worker capacity, quotas and the record buffer allow.
     pub(crate) fn place_waiting(&mut self, now: Millis) {
         if self.queue.is_empty() {
             return;
         }
-        if self.releasing || !self.lease.is_valid(now) || self.buffer.len() > MOST_BUFFERED {
+        if self.releasing || !self.lease.is_valid(now) || self.buffer.len() > MAX_BUFFERED_RECORDS {
             return;
         }
-        let mut looks = MOST_LOOKED_AT;
-        let mut places = MOST_PLACED;
+        let mut examine_budget = MAX_EXAMINED_PER_EVENT;
+        let mut place_budget = MAX_PLACED_PER_EVENT;
         for key in self.queue.turn(&self.quotas) {
-            self.place_list(now, &key, &mut looks, &mut places);
+            self.place_list(now, &key, &mut examine_budget, &mut place_budget);
         }
     }
 
-    fn place_list(&mut self, now: Millis, key: &PendingKey, looks: &mut usize, places: &mut usize) {
+    fn place_list(
+        &mut self,
+        now: Millis,
+        key: &PendingKey,
+        examine_budget: &mut usize,
+        place_budget: &mut usize,
+    ) {
         let cursor = self.cursors.remove(key);
-        let most = (*looks).min(MOST_LOOKED_AT_PER_LIST);
-        let tasks = self.queue.tasks_after(key, cursor.as_ref(), most);
-        let whole = tasks.len() < most;
+        let limit = (*examine_budget).min(MAX_EXAMINED_PER_LIST);
+        let tasks = self.queue.tasks_after(key, cursor.as_ref(), limit);
+        let exhausted = tasks.len() < limit;
         let last = tasks.last().cloned();
-        if let (Some(task), false) = (last, whole) {
+        if let (Some(task), false) = (last, exhausted) {
             self.cursors.insert(key.clone(), task);
         }
-        *looks -= tasks.len();
+        *examine_budget -= tasks.len();
         let mut window = FamilyWindow::default();
         for task in tasks {
             if let Some(spec) = self.state.spec(&task.job) {
                 window.push(&spec.family, task);
             }
         }
-        self.place_window(now, key, window, places);
+        self.place_window(now, key, window, place_budget);
     }
 
-    /// Places tasks of a window, always one of the family that does the least harm where it would be placed next.
+    /// Places the tasks of a window, always taking the next task from the family with the lowest placement cost.
     fn place_window(
         &mut self,
         now: Millis,
         key: &PendingKey,
         mut window: FamilyWindow,
-        places: &mut usize,
+        place_budget: &mut usize,
     ) {
-        let mut smallest: Option<ResourceSize> = None;
+        let mut smallest_unplaced: Option<ResourceSize> = None;
         for family in window.families() {
             let cost = self.next_cost(now, &window, &family);
             window.set_cost(&family, cost);
         }
         while let Some((family, task)) = window.pop_cheapest() {
-            if *places == 0 {
+            if *place_budget == 0 {
                 return;
             }
             if self.placing.contains(&task) {
                 continue;
             }
-            match self.look_at(now, &task, &mut smallest) {
-                LookOutcome::Placed => {
-                    *places -= 1;
+            match self.try_place(now, &task, &mut smallest_unplaced) {
+                PlacementResult::Placed => {
+                    *place_budget -= 1;
                     self.queue.note_placed(key.urgent);
-                    self.urgent_waits |= key.urgent;
-                    self.waiting.insert(task, WaitReason::Recording);
+                    self.urgent_pending |= key.urgent;
+                    self.wait_reasons.insert(task, WaitReason::Recording);
                     let cost = self.next_cost(now, &window, &family);
                     window.set_cost(&family, cost);
                 }
-                LookOutcome::Waits(reason) => {
-                    self.waiting.insert(task, reason);
+                PlacementResult::Waits(reason) => {
+                    self.wait_reasons.insert(task, reason);
                 }
-                LookOutcome::Ended => {}
+                PlacementResult::Ended => {}
             }
         }
     }
 
-    /// What the next task of a family would cost where it would be placed, less a bonus for having waited.
+    /// The placement cost of a family's next task, minus its waiting bonus; infinite where it can't be placed now.
     fn next_cost(&mut self, now: Millis, window: &FamilyWindow, family: &str) -> f64 {
         let Some(task) = window.first(family) else {
             return f64::INFINITY;
@@ -127,30 +134,30 @@
         let since = self.waiting_since.get(task).copied().unwrap_or(now);
         let waited_s = now.saturating_sub(since) as f64 / 1_000.0;
         match self.pool.choose(&need, now) {
-            PlaceOutcome::Placed(choice) => choice.cost - waited_s * BONUS_PER_SECOND,
+            PlaceOutcome::Placed(choice) => choice.cost - waited_s * WAIT_BONUS_PER_SECOND,
             PlaceOutcome::NoRoom | PlaceOutcome::NeverFits => f64::INFINITY,
         }
     }
 
-    fn look_at(
+    fn try_place(
         &mut self,
         now: Millis,
         task: &TaskId,
-        smallest: &mut Option<ResourceSize>,
-    ) -> LookOutcome {
+        smallest_unplaced: &mut Option<ResourceSize>,
+    ) -> PlacementResult {
         let Some(spec) = self.state.spec(&task.job).cloned() else {
-            return LookOutcome::Ended;
+            return PlacementResult::Ended;
         };
         let size = self.families.reserve_size(&spec.family, &spec.size);
         let size = self.bounded_size(&spec, size);
         if !self.pool.could_ever_hold(&size) {
-            return self.give_up_if_nowhere(task, &size);
+            return self.give_up_if_unplaceable(task, &size);
         }
         if !self.quotas.allows(&spec.team, &size) {
-            return LookOutcome::Waits(WaitReason::Quota);
+            return PlacementResult::Waits(WaitReason::Quota);
         }
-        if smallest.is_some_and(|smallest| smallest.fits_in(&size)) {
-            return LookOutcome::Waits(WaitReason::Room);
+        if smallest_unplaced.is_some_and(|smallest_unplaced| smallest_unplaced.fits_in(&size)) {
+            return PlacementResult::Waits(WaitReason::Room);
         }
         let need = TaskNeed {
             size,
@@ -160,21 +167,23 @@
         match self.pool.choose(&need, now) {
             PlaceOutcome::Placed(choice) => {
                 if self.place(now, task, &spec, size, choice) {
-                    LookOutcome::Placed
+                    PlacementResult::Placed
                 } else {
-                    LookOutcome::Waits(WaitReason::Room)
+                    PlacementResult::Waits(WaitReason::Room)
                 }
             }
             PlaceOutcome::NoRoom => {
-                *smallest = Some(size);
+                *smallest_unplaced = Some(size);
                 self.avoid.remove(task);
-                LookOutcome::Waits(WaitReason::Room)
+                PlacementResult::Waits(WaitReason::Room)
             }
-            PlaceOutcome::NeverFits => self.give_up_if_nowhere(task, &size),
+            PlaceOutcome::NeverFits => self.give_up_if_unplaceable(task, &size),
         }
     }
 
-    /// What was seen never makes a task larger than the largest worker, or it would wait for ever.
+    /// Falls back to the declared size where no worker could hold the size estimated from usage.
+    ///
+    /// Otherwise the estimate would make the task wait forever.
     fn bounded_size(&self, spec: &JobSpec, size: ResourceSize) -> ResourceSize {
         if size == spec.size || self.pool.could_ever_hold(&size) {
             size
@@ -203,8 +212,8 @@
         if self.pool.reserve(&choice.worker, tenant).is_err() {
             return false;
         }
-        self.hold_room(&attempt, &choice.worker, spec, size);
-        self.reasons.insert(
+        self.hold_capacity(&attempt, &choice.worker, spec, size);
+        self.placed_reasons.insert(
             attempt.clone(),
             PlacedReason {
                 predicted: choice.predicted,
@@ -220,8 +229,9 @@
         true
     }
 
-    /// Ends a task that no worker of any shard could ever hold.
-    fn give_up_if_nowhere(&mut self, task: &TaskId, size: &ResourceSize) -> LookOutcome {
+    /// Ends a task that no worker of any shard could ever hold; it waits where another shard could hold it, or where not
+    /// all shards have published their capacity.
+    fn give_up_if_unplaceable(&mut self, task: &TaskId, size: &ResourceSize) -> PlacementResult {
         let elsewhere = self.rooms.iter().any(|room| size.fits_in(&room.capacity));
         let shards = self
             .config
@@ -230,7 +240,7 @@
         let heard = self.rooms.iter().filter(|room| room.shard != self.shard);
         let all_heard = heard.count() + 1 >= shards;
         if elsewhere || !all_heard {
-            return LookOutcome::Waits(WaitReason::Room);
+            return PlacementResult::Waits(WaitReason::Room);
         }
         let reason = format!("no known worker is large enough for {size}");
         self.placing.insert(task.clone());
@@ -238,11 +248,11 @@
             task: task.clone(),
             reason,
         });
-        LookOutcome::Ended
+        PlacementResult::Ended
     }
 
-    /// Counts room on a worker and a team's quota as held by an attempt.
-    pub(crate) fn hold_room(
+    /// Records the worker capacity and team quota that an attempt holds; replaces what it held before.
+    pub(crate) fn hold_capacity(
         &mut self,
         attempt: &AttemptId,
         worker: &WorkerId,
@@ -250,7 +260,7 @@
         size: ResourceSize,
     ) {
         self.quotas.hold(&spec.team, &size);
-        let held = HeldRoom {
+        let held = AttemptHold {
             worker: worker.clone(),
             team: spec.team.clone(),
             size,
@@ -260,9 +270,9 @@
         }
     }
 
-    /// Gives back the room and the quota of an attempt that runs no more; says where it was.
+    /// Releases the capacity and quota of an attempt that no longer runs; returns its worker, none where it held nothing.
     pub(crate) fn drop_hold(&mut self, attempt: &AttemptId) -> Option<WorkerId> {
-        self.reasons.remove(attempt);
+        self.placed_reasons.remove(attempt);
         let held = self.held.remove(attempt)?;
         self.pool.release(&held.worker, attempt);
         self.quotas.release(&held.team, &held.size);
@@ -276,31 +286,31 @@
         }
     }
 
-    /// Holds room for an attempt that an earlier owner placed.
+    /// Holds capacity and quota for an attempt that an earlier owner placed.
     pub(crate) fn hold_recovered(&mut self, worker: &WorkerId, attempt: &AttemptId) {
         let Some(spec) = self.state.spec(&attempt.task.job).cloned() else {
             return;
         };
         self.pool
             .record(worker, tenant_of(attempt, &spec, spec.size));
-        self.hold_room(attempt, worker, &spec, spec.size);
+        self.hold_capacity(attempt, worker, &spec, spec.size);
     }
 
-    /// Hands tasks that found no room here to shards that have some.
+    /// Hands off tasks that have waited long enough for capacity in this shard to shards with free capacity.
     pub(crate) fn hand_off_waiting(&mut self, now: Millis) {
         if self.releasing || !self.lease.is_valid(now) || self.rooms.is_empty() {
             return;
         }
-        if now < self.next_handoff || self.buffer.len() > MOST_BUFFERED {
+        if now < self.next_handoff || self.buffer.len() > MAX_BUFFERED_RECORDS {
             return;
         }
-        self.next_handoff = now + HANDOFF_EVERY_MS;
+        self.next_handoff = now + HANDOFF_SCAN_INTERVAL_MS;
         let mut chosen = Vec::new();
-        for (task, reason) in &self.waiting {
+        for (task, reason) in &self.wait_reasons {
             if *reason != WaitReason::Room || self.placing.contains(task) {
                 continue;
             }
-            if chosen.len() >= MOST_HANDED_OFF {
+            if chosen.len() >= MAX_HANDED_OFF_PER_SCAN {
                 break;
             }
             if self.has_waited(now, task) {
@@ -322,9 +332,9 @@
             .spec(&task.job)
             .is_some_and(|spec| self.pending_key(spec).urgent);
         let wait = if urgent {
-            URGENT_HANDOFF_AFTER_MS
+            URGENT_HANDOFF_WAIT_MS
         } else {
-            HANDOFF_AFTER_MS
+            HANDOFF_WAIT_MS
         };
         let hops = self
             .state
@@ -359,23 +369,28 @@
         });
     }
 
-    /// The shard to hand a task to: one with room; else, where this one has no worker left or the task is urgent, one that
-    /// could hold it and in whose queue it then waits.
+    /// Chooses the shard to hand a task to: one with enough free capacity.
+    ///
+    /// Where there is none and this shard has no workers or the task is urgent, the task goes to a shard with a worker large
+    /// enough for it, chosen in rotation, and waits in that shard's queue.
     fn shard_for(&mut self, size: &ResourceSize, urgent: bool) -> Option<ShardId> {
         let with_room = self.shard_with_room(size);
-        let homeless = self.pool.is_empty();
-        if with_room.is_some() || !(urgent || homeless) {
+        let no_workers = self.pool.is_empty();
+        if with_room.is_some() || !(urgent || no_workers) {
             return with_room;
         }
-        self.turn += 1;
+        self.handoff_rotation += 1;
         let own = &self.shard;
         let rooms = self.rooms.iter().filter(|room| &room.shard != own);
-        let able: Vec<&ShardRoom> = rooms.filter(|room| size.fits_in(&room.capacity)).collect();
-        let picked = able.get(self.turn % able.len().max(1))?;
+        let able_shards: Vec<&ShardRoom> =
+            rooms.filter(|room| size.fits_in(&room.capacity)).collect();
+        let picked = able_shards.get(self.handoff_rotation % able_shards.len().max(1))?;
         Some(picked.shard.clone())
     }
 
-    /// Takes room from what another shard told of, so that not all tasks go to the same one.
+    /// Chooses the shard with the most free processors that has room for `size`.
+    ///
+    /// Deducts the processors from that shard's published capacity, so that not all tasks go to the same shard.
     fn shard_with_room(&mut self, size: &ResourceSize) -> Option<ShardId> {
         let own = &self.shard;
         let room = self
@@ -388,7 +403,7 @@
         Some(room.shard.clone())
     }
 
-    /// Evicts an attempt that runs and can be resumed or run again.
+    /// Evicts a running attempt that can be resumed from a checkpoint or run again; others are left alone.
     pub(crate) fn evict_requested(&mut self, attempt: &AttemptId) {
         let Some(worker) = self.state.current_worker(attempt).cloned() else {
             return;
@@ -402,7 +417,7 @@
         }
     }
 
-    /// Learns from a late measurement, and throttles or evicts where the service is hurt.
+    /// Learns from a delayed slowdown measurement, and throttles or evicts an attempt where the service is slowed too much.
     pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &PairSample) {
         self.pool.estimate.learn(sample, now);
         self.pool.set_band(worker, sample.band);
@@ -435,7 +450,7 @@
     }
 }
 
-/// Describes an attempt's reservation.
+/// The reservation of an attempt in the worker pool.
 pub(crate) fn tenant_of(attempt: &AttemptId, spec: &JobSpec, size: ResourceSize) -> WorkerTenant {
     WorkerTenant {
         attempt: attempt.clone(),
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -1,4 +1,4 @@
-//! Deals with what workers answer, and with workers that no longer do.
+//! Handles worker reports, and reclaims tasks from workers whose leases have expired.
 
 use std::collections::BTreeSet;
 
@@ -11,11 +11,11 @@
 use crate::placing::tenant_of;
 use crate::state::{RecordEffect, RequeueCause, TaskStage};
 
-/// A task that failed by itself so often is given up.
-const MOST_FAILURES: u32 = 3;
+/// A task is given up after this number of failed attempts; failures that quarantine the worker don't count.
+const MAX_TASK_FAILURES: u32 = 3;
 
 impl ShardOwner {
-    pub(crate) fn on_worker(
+    pub(crate) fn on_worker_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -32,29 +32,29 @@
             return;
         }
         let Some(report) = report else {
-            session.note_lost(now, &times);
+            session.note_failed(now, &times);
             return;
         };
         match report.refusal {
             Some(OrderRefusal::Outdated) => {
-                // A newer owner has been there: learn who it is before anything else.
-                session.note_lost(now, &times);
+                // A newer owner may have sent orders to the worker: read the row first to find out who owns the shard.
+                session.note_failed(now, &times);
                 if self.pending.is_none() {
                     self.ask_row(now);
                 }
             }
-            Some(OrderRefusal::StampExpired) => session.note_expired(now, report.stamp),
+            Some(OrderRefusal::StampExpired) => session.note_stamp_expired(now, report.stamp),
             None => {
                 session.note_accepted(now, report.stamp, &times);
-                self.take_report(now, worker, &report);
+                self.apply_report(now, worker, &report);
             }
         }
     }
 
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, report: &WorkerReport) {
-        self.take_capacity(worker, report);
+    fn apply_report(&mut self, now: Millis, worker: &WorkerId, report: &WorkerReport) {
+        self.apply_capacity(worker, report);
         for attempt in &report.attempts {
-            self.take_attempt(now, worker, attempt);
+            self.handle_attempt(now, worker, attempt);
         }
         if self.pool.overfull(worker) {
             self.shed_load(worker);
@@ -63,15 +63,15 @@
             self.requeue_missing(worker, report);
             self.release_missing(worker, report);
         }
-        self.open_if_sound(worker);
+        self.open_if_usable(worker);
     }
 
-    fn take_capacity(&mut self, worker: &WorkerId, report: &WorkerReport) {
+    fn apply_capacity(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let Some(entry) = self.pool.entry(worker) else {
             return;
         };
         if let Some(session) = self.sessions.get_mut(worker) {
-            session.reported = Some(report.capacity);
+            session.reported_capacity = Some(report.capacity);
         }
         if entry.capacity != report.capacity {
             let mut entry = entry.clone();
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Evicts the newest attempts from a worker on which more is used than it has: it became smaller, or they grew.
+    /// Evicts the newest attempts from a worker whose reservations exceed its capacity, because the worker's capacity
+    /// shrank or the attempts' usage grew.
     fn shed_load(&mut self, worker: &WorkerId) {
         let Some(entry) = self.pool.entry(worker) else {
             return;
@@ -100,7 +101,7 @@
         }
     }
 
-    fn open_if_sound(&mut self, worker: &WorkerId) {
+    fn open_if_usable(&mut self, worker: &WorkerId) {
         let Some(session) = self.sessions.get(worker) else {
             return;
         };
@@ -109,13 +110,13 @@
         self.pool.set_open(worker, open);
     }
 
-    fn take_attempt(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
+    fn handle_attempt(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
         let current = self.state.current_worker(attempt) == Some(worker);
         match &report.phase {
             AttemptPhase::Running if current => self.note_running(now, worker, report),
-            AttemptPhase::Running => self.stop_stray(worker, report),
-            _ if !current => self.end_stray(worker, report),
+            AttemptPhase::Running => self.stop_superseded(worker, report),
+            _ if !current => self.acknowledge_superseded(worker, report),
             AttemptPhase::Finished(output) => {
                 self.finish(worker, report, output);
             }
@@ -138,7 +139,7 @@
         let mut tenant = tenant_of(&report.attempt, &spec, size);
         tenant.progress_percent = (report.ran_ms * 100 / expected).min(100) as u32;
         self.pool.record(worker, tenant);
-        self.hold_room(&report.attempt, worker, &spec, size);
+        self.hold_capacity(&report.attempt, worker, &spec, size);
         if let Some(session) = self.sessions.get_mut(worker) {
             session.confirmed.insert(report.attempt.clone());
             let left = expected.saturating_sub(report.ran_ms);
@@ -146,10 +147,10 @@
         }
     }
 
-    /// Stops an attempt that is not its task's newest; its room stays held until it has ended.
-    fn stop_stray(&mut self, worker: &WorkerId, report: &AttemptReport) {
+    /// Stops an attempt that is not its task's newest; its capacity stays reserved until it has ended.
+    fn stop_superseded(&mut self, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        if self.starts_soon(worker, attempt) {
+        if self.is_start_pending(worker, attempt) {
             return;
         }
         let known = self
@@ -175,13 +176,13 @@
         }
     }
 
-    fn starts_soon(&self, worker: &WorkerId, attempt: &AttemptId) -> bool {
+    fn is_start_pending(&self, worker: &WorkerId, attempt: &AttemptId) -> bool {
         let session = self.sessions.get(worker);
         session.is_some_and(|session| session.is_starting(attempt))
     }
 
-    /// Lets the worker forget the end of an attempt that no longer counts.
-    fn end_stray(&mut self, worker: &WorkerId, report: &AttemptReport) {
+    /// Acknowledges the end of an attempt that no longer counts, so that the worker may forget it.
+    fn acknowledge_superseded(&mut self, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
         let counted = self
             .state
@@ -240,7 +241,7 @@
             + 1;
         if !repeatable {
             self.give_up(attempt, "it failed and may not be run again");
-        } else if failures >= MOST_FAILURES && !closed {
+        } else if failures >= MAX_TASK_FAILURES && !closed {
             self.give_up(attempt, "it failed on three workers");
         } else {
             self.avoid.insert(task.clone(), worker.clone());
@@ -254,7 +255,7 @@
     }
 
     fn give_up(&mut self, attempt: &AttemptId, reason: &str) {
-        if self.begin_end(attempt) {
+        if self.begin_ending(attempt) {
             self.buffer.push(JournalRecord::Failed {
                 task: attempt.task.clone(),
                 reason: reason.to_owned(),
@@ -282,7 +283,7 @@
         cause: RequeueCause,
         checkpoint: Option<String>,
     ) {
-        if self.begin_end(attempt) {
+        if self.begin_ending(attempt) {
             self.buffer.push(JournalRecord::Requeued {
                 attempt: attempt.clone(),
                 cause,
@@ -291,10 +292,10 @@
         }
     }
 
-    /// Notes that an attempt's end is about to be recorded; from here on it must not be started any more.
+    /// Marks an attempt's end as being recorded and withdraws its unconfirmed start, so that it isn't started any more.
     ///
-    /// Returns false where its end is being recorded already.
-    fn begin_end(&mut self, attempt: &AttemptId) -> bool {
+    /// Returns false where its end is already being recorded.
+    fn begin_ending(&mut self, attempt: &AttemptId) -> bool {
         if !self.ending.insert(attempt.clone()) {
             return false;
         }
@@ -305,7 +306,7 @@
         true
     }
 
-    /// Requeues what was recorded for a worker but never arrived there, and now never can.
+    /// Requeues attempts that are placed on a worker but missing from its inventory, unless their start is still to be sent.
     fn requeue_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let listed: BTreeSet<&AttemptId> =
             report.attempts.iter().map(|entry| &entry.attempt).collect();
@@ -313,7 +314,7 @@
             .state
             .placed_on(worker)
             .filter(|attempt| !listed.contains(attempt))
-            .filter(|attempt| !self.starts_soon(worker, attempt))
+            .filter(|attempt| !self.is_start_pending(worker, attempt))
             .cloned()
             .collect();
         for attempt in missing {
@@ -327,7 +328,7 @@
         }
     }
 
-    /// Gives back the room of attempts that the worker no longer has and no record waits for.
+    /// Releases the capacity of attempts that are missing from the worker's inventory and for which no record is pending.
     fn release_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let stale: Vec<AttemptId> = self
             .pool
@@ -342,7 +343,7 @@
             })
             .filter(|attempt| !self.placing.contains(&attempt.task))
             .filter(|attempt| self.state.current_worker(attempt).is_none())
-            .filter(|attempt| !self.starts_soon(worker, attempt))
+            .filter(|attempt| !self.is_start_pending(worker, attempt))
             .cloned()
             .collect();
         for attempt in stale {
@@ -351,20 +352,20 @@
         }
     }
 
-    /// Takes tasks back from workers on which no lease can be running any more.
-    pub(crate) fn retire_lapsed(&mut self, now: Millis) {
-        let lapsed: Vec<(WorkerId, bool)> = self
+    /// Reclaims tasks from workers on which no task lease can still be running.
+    pub(crate) fn reclaim_expired(&mut self, now: Millis) {
+        let expired: Vec<(WorkerId, bool)> = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.is_lapsed(now))
+            .filter(|(_, session)| session.leases_expired(now))
             .map(|(worker, session)| (worker.clone(), session.gone))
             .collect();
-        for (worker, gone) in lapsed {
-            self.retire_worker(&worker, gone);
+        for (worker, gone) in expired {
+            self.reclaim_worker(&worker, gone);
         }
     }
 
-    fn retire_worker(&mut self, worker: &WorkerId, gone: bool) {
+    fn reclaim_worker(&mut self, worker: &WorkerId, gone: bool) {
         self.pool.set_open(worker, false);
         let attempts: Vec<AttemptId> = self.state.placed_on(worker).cloned().collect();
         for attempt in attempts {
@@ -377,7 +378,7 @@
             }
         }
         let nothing_left = gone && self.state.placed_on(worker).next().is_none();
-        if nothing_left && self.ending.is_empty() && !self.is_placing_on(worker) {
+        if nothing_left && self.ending.is_empty() && !self.has_unrecorded_placement(worker) {
             for attempt in self.pool.remove(worker) {
                 self.drop_hold(&attempt);
             }
@@ -386,8 +387,8 @@
         }
     }
 
-    /// Whether a placement on this worker waits to be recorded.
-    fn is_placing_on(&self, worker: &WorkerId) -> bool {
+    /// Whether a placement on this worker is still to be committed.
+    fn has_unrecorded_placement(&self, worker: &WorkerId) -> bool {
         let mut tenants = self.pool.tenants(worker).iter();
         tenants.any(|tenant| self.placing.contains(&tenant.attempt.task))
     }
@@ -408,7 +409,7 @@
         }
     }
 
-    /// Lets the worker forget an attempt whose end is now durable, and gives its room back.
+    /// Acknowledges an attempt whose end is now durable to its worker, and releases its capacity and quota.
     pub(crate) fn after_ended(&mut self, attempt: &AttemptId) {
         self.ending.remove(attempt);
         let Some(worker) = self.drop_hold(attempt) else {
--- a/crates/lease/src/row.rs
+++ b/crates/lease/src/row.rs
@@ -5,33 +5,35 @@
 use sandshelf_model::{Epoch, HostId, Millis, Sequence};
 use serde::{Deserialize, Serialize};
 
-/// The table's own version of a row; it changes with each write.
+/// The version that the platform's table assigns to a row; it changes with each write.
 pub type RowVersion = u64;
 
-/// Who owns a shard and how far its journal goes.
+/// The owner of a shard and the extent of its journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
     /// The owner; none after a release.
     pub owner: Option<HostId>,
-    /// Counts owners.
+    /// The owner's epoch; each claim increases it by 1.
     pub epoch: Epoch,
-    /// Counts durable writes.
+    /// The number of durable writes of the shard; each write increases it by 1.
     pub sequence: Sequence,
-    /// Unique to the write, so that a lost answer can be told from a lost write.
+    /// Unique to each write, to tell a lost answer from a lost write.
     pub token: String,
-    /// The digest of the newest snapshot.
+    /// The digest of the newest snapshot; none before the first.
     pub snapshot: Option<String>,
-    /// The sequence up to which the snapshot speaks.
+    /// The sequence of the last journal row that the snapshot covers.
     pub snapshot_sequence: Sequence,
-    /// Journal rows up to this sequence have been deleted.
+    /// Journal rows up to this sequence (inclusive) have been deleted.
     pub trimmed_sequence: Sequence,
-    /// After a release: for how long, from the write on, workers that can't be reached may run what was renewed.
+    /// After a release: for how many milliseconds from this write unreachable workers may still run tasks whose leases
+    /// were renewed before.
     pub silence_ms: Millis,
-    /// Since which epoch all owners keep to what they publish of leases; 0 where one of an earlier version came between, which
-    /// doesn't know this field and drops it.
+    /// The epoch since which all owners have kept to the lease rules that they publish. 0 where an owner of an earlier
+    /// version, which doesn't know this field and drops it, has written the row since.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rules_since: Epoch,
-    /// Where the owner takes connections of other hosts; none where it takes none, or is of a version that doesn't know of it.
+    /// The address at which the owner accepts connections of other hosts; none where it accepts none, or runs a version that
+    /// doesn't know this field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub relay_address: Option<SocketAddr>,
 }
@@ -40,10 +42,10 @@
     *epoch == 0
 }
 
-/// A row as read, with its version.
+/// A shard's row with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRow {
-    /// The table's version; 0 stands for a row that isn't there.
+    /// The row's version; 0 where the row doesn't exist.
     pub version: RowVersion,
     /// The row.
     pub row: ShardRow,
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -1,4 +1,4 @@
-//! One worker as its shard's owner knows it: what was sent, what was confirmed, and how long its leases can last.
+//! An owner's session with one worker: queued and unanswered orders, confirmed attempts, and how long leases can last.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,13 +7,14 @@
 use crate::orders::{StartOrder, TaskOrder, WorkerOrders};
 use crate::times::LeaseTimes;
 
-/// The most attempts that one message acknowledges or orders about, so that a flood is spread over messages.
-const MOST_ORDERS: usize = 256;
+/// The maximum number of attempts per kind of order (start, stop, ...) and of acknowledgements in one message, so that a
+/// burst is spread over several messages.
+const MAX_ORDERS_PER_KIND: usize = 256;
 
-/// How long after an attempt's expected end its worker is asked.
-const AFTER_END_MS: Millis = 50;
+/// How long after an attempt's expected end its worker is polled, in milliseconds.
+const POLL_AFTER_END_MS: Millis = 50;
 
-/// What one message carried, to be struck off when it is answered.
+/// The content of the message in flight, to be removed from the queues when the worker accepts it.
 #[derive(Clone, Debug)]
 struct SentOrders {
     number: u64,
@@ -26,25 +27,26 @@
     inventory: bool,
 }
 
-/// An owner's dealings with one worker.
+/// An owner's session with one worker; dropped when the shard is lost or the worker is removed.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerSession {
-    /// Whether the worker has taken in this owner's epoch and sent its inventory since.
+    /// Whether the worker has accepted this owner's epoch and sent its inventory since.
     pub fenced: bool,
-    /// Until when what an earlier owner renewed may still run there.
+    /// Until when attempts whose leases an earlier owner renewed may still run on the worker.
     pub silent_until: Millis,
-    /// Until when what this owner renewed may still run there.
-    pub held_until: Millis,
-    /// Whether the platform says that this incarnation is gone.
+    /// Until when attempts whose leases this owner renewed may still run on the worker.
+    pub renewed_until: Millis,
+    /// Whether the platform reports this worker incarnation as gone for good.
     pub gone: bool,
-    /// Whether the worker is to be emptied.
+    /// Whether the worker is being drained.
     pub leaving: bool,
-    /// Attempts that the worker has confirmed.
+    /// Attempts whose start the worker has confirmed.
     pub confirmed: BTreeSet<AttemptId>,
-    /// Attempts that were told to stop, so that their end is told from a lapse.
+    /// Attempts for which a checkpoint and stop was requested, so that their end counts as an eviction and not as an
+    /// expired lease.
     pub evicting: BTreeSet<AttemptId>,
-    /// What the worker itself says that it has; the platform's list lags behind it.
-    pub reported: Option<ResourceSize>,
+    /// The capacity that the worker itself reports; newer than the platform's list.
+    pub reported_capacity: Option<ResourceSize>,
     starts: BTreeMap<AttemptId, StartOrder>,
     stops: BTreeSet<AttemptId>,
     checkpoints: BTreeSet<AttemptId>,
@@ -52,15 +54,15 @@
     acknowledged: BTreeSet<AttemptId>,
     number: u64,
     stamp: Millis,
-    stamp_at: Millis,
-    flight: Option<SentOrders>,
+    stamp_received_at: Millis,
+    in_flight: Option<SentOrders>,
     next_send: Millis,
     next_inventory: Millis,
     expected_ends: BTreeMap<AttemptId, Millis>,
 }
 
 impl WorkerSession {
-    /// Makes a session with a worker on which an earlier owner's attempts may run until `silent_until`.
+    /// Creates a session with a worker on which an earlier owner's attempts may run until `silent_until`.
     pub fn new(silent_until: Millis) -> Self {
         Self {
             silent_until,
@@ -68,43 +70,45 @@
         }
     }
 
-    /// Whether no lease on this worker can still be running.
-    pub fn is_lapsed(&self, now: Millis) -> bool {
-        self.gone || (now > self.held_until && (self.fenced || now > self.silent_until))
+    /// Whether no task lease on this worker can still be running.
+    pub fn leases_expired(&self, now: Millis) -> bool {
+        self.gone || (now > self.renewed_until && (self.fenced || now > self.silent_until))
     }
 
-    /// Asks for an attempt to be started.
+    /// Queues an order to start an attempt.
     pub fn push_start(&mut self, order: StartOrder) {
         self.starts.insert(order.attempt.clone(), order);
         self.next_send = 0;
     }
 
-    /// Asks for an attempt to be stopped.
+    /// Queues an order to stop an attempt, and withdraws its start if that is not confirmed.
     pub fn push_stop(&mut self, attempt: &AttemptId) {
         self.starts.remove(attempt);
         self.stops.insert(attempt.clone());
         self.next_send = 0;
     }
 
-    /// Takes back a start that its worker has not confirmed.
+    /// Withdraws a start that the worker has not confirmed.
     pub fn drop_start(&mut self, attempt: &AttemptId) {
         self.starts.remove(attempt);
     }
 
-    /// Asks for an attempt to be checkpointed and stopped.
+    /// Queues an order to checkpoint and stop an attempt.
     pub fn push_checkpoint(&mut self, attempt: &AttemptId) {
         self.evicting.insert(attempt.clone());
         self.checkpoints.insert(attempt.clone());
         self.next_send = 0;
     }
 
-    /// Asks for an attempt to run at a percentage of its speed.
+    /// Queues an order to run an attempt at `percent` of its full speed.
     pub fn push_throttle(&mut self, attempt: &AttemptId, percent: u32) {
         self.throttles.insert(attempt.clone(), percent);
         self.next_send = 0;
     }
 
-    /// Tells the worker that it may forget an attempt's end.
+    /// Queues an acknowledgement of an attempt's end, so that the worker may forget it.
+    ///
+    /// It is sent with the next message that is due anyway.
     pub fn push_acknowledgement(&mut self, attempt: &AttemptId) {
         self.confirmed.remove(attempt);
         self.expected_ends.remove(attempt);
@@ -112,32 +116,32 @@
         self.acknowledged.insert(attempt.clone());
     }
 
-    /// Whether a start of `attempt` has not been answered yet.
+    /// Whether a start of `attempt` is queued or not confirmed yet.
     pub fn is_starting(&self, attempt: &AttemptId) -> bool {
         self.starts.contains_key(attempt)
     }
 
-    /// Notes when an attempt is expected to end, so that the worker is asked then and not a whole period later.
+    /// Records when an attempt is expected to end, so that the worker is polled then and not a whole interval later.
     pub fn expect_end(&mut self, attempt: &AttemptId, at: Millis) {
         self.expected_ends.insert(attempt.clone(), at);
     }
 
-    /// When the worker is next asked if there is nothing new: at the period, or just after the next expected end.
-    fn next_look(&self, now: Millis, times: &LeaseTimes) -> Millis {
+    /// When the worker is next polled if no order is queued: after the order interval, or just after the next expected end.
+    fn next_poll(&self, now: Millis, times: &LeaseTimes) -> Millis {
         let period = now + times.order_interval_ms;
         let ends = self.expected_ends.values().filter(|at| **at > now);
         ends.min()
-            .map_or(period, |end| period.min(end + AFTER_END_MS))
+            .map_or(period, |end| period.min(end + POLL_AFTER_END_MS))
     }
 
-    /// Whether a message is due; one is under way at a time.
+    /// Whether a message is due; only one is in flight at a time.
     pub fn is_due(&self, now: Millis) -> bool {
-        !self.gone && self.flight.is_none() && now >= self.next_send
+        !self.gone && self.in_flight.is_none() && now >= self.next_send
     }
 
-    /// Makes the next message.
+    /// Builds the next message and marks it as in flight.
     ///
-    /// Starts stay back until the worker is fenced; each was made durable before it came here.
+    /// Starts are held back until the worker is fenced; the placement of each was committed before it was queued.
     pub fn make_orders(
         &mut self,
         now: Millis,
@@ -148,14 +152,14 @@
         self.number += 1;
         let inventory = !self.fenced || now >= self.next_inventory;
         let starts = if self.fenced {
-            take_some(self.starts.values())
+            first_orders(self.starts.values())
         } else {
             Vec::new()
         };
-        let stops = take_some(self.stops.iter());
-        let checkpoints = take_some(self.checkpoints.iter());
-        let throttles = self.take_throttles();
-        let acknowledged = take_some(self.acknowledged.iter());
+        let stops = first_orders(self.stops.iter());
+        let checkpoints = first_orders(self.checkpoints.iter());
+        let throttles = self.first_throttles();
+        let acknowledged = first_orders(self.acknowledged.iter());
         let mut orders = Vec::with_capacity(stops.len() + checkpoints.len() + starts.len());
         orders.extend(stops.iter().cloned().map(TaskOrder::Stop));
         orders.extend(checkpoints.iter().cloned().map(TaskOrder::Checkpoint));
@@ -166,10 +170,10 @@
         );
         orders.extend(starts.iter().cloned().map(TaskOrder::Start));
         if self.stamp > 0 {
-            let lease_end = self.stamp_at + times.task_lease_ms + times.drift_ms;
-            self.held_until = self.held_until.max(lease_end);
+            let lease_end = self.stamp_received_at + times.task_lease_ms + times.drift_ms;
+            self.renewed_until = self.renewed_until.max(lease_end);
         }
-        self.flight = Some(SentOrders {
+        self.in_flight = Some(SentOrders {
             number: self.number,
             sent: now,
             starts: starts.into_iter().map(|order| order.attempt).collect(),
@@ -191,41 +195,44 @@
         }
     }
 
-    fn take_throttles(&self) -> Vec<(AttemptId, u32)> {
-        let throttles = self.throttles.iter().take(MOST_ORDERS);
+    fn first_throttles(&self) -> Vec<(AttemptId, u32)> {
+        let throttles = self.throttles.iter().take(MAX_ORDERS_PER_KIND);
         throttles
             .map(|(attempt, percent)| (attempt.clone(), *percent))
             .collect()
     }
 
-    /// Whether `number` is of the message under way.
+    /// Whether `number` is the number of the message in flight.
     pub fn awaits(&self, number: u64) -> bool {
-        self.flight
+        self.in_flight
             .as_ref()
-            .is_some_and(|flight| flight.number == number)
+            .is_some_and(|in_flight| in_flight.number == number)
     }
 
-    /// Takes in that the message under way was answered and taken in whole.
+    /// Handles the worker's acceptance of the message in flight: removes its orders from the queues.
+    ///
+    /// `stamp` is the worker's time from its answer.
     pub fn note_accepted(&mut self, now: Millis, stamp: Millis, times: &LeaseTimes) {
-        let Some(flight) = self.flight.take() else {
+        let Some(in_flight) = self.in_flight.take() else {
             return;
         };
-        for attempt in &flight.starts {
+        for attempt in &in_flight.starts {
             if self.starts.remove(attempt).is_some() {
                 self.confirmed.insert(attempt.clone());
             }
         }
-        self.stops.retain(|attempt| !flight.stops.contains(attempt));
+        self.stops
+            .retain(|attempt| !in_flight.stops.contains(attempt));
         self.checkpoints
-            .retain(|attempt| !flight.checkpoints.contains(attempt));
+            .retain(|attempt| !in_flight.checkpoints.contains(attempt));
         self.throttles
-            .retain(|attempt, percent| !flight.throttles.contains(&(attempt.clone(), *percent)));
+            .retain(|attempt, percent| !in_flight.throttles.contains(&(attempt.clone(), *percent)));
         self.acknowledged
-            .retain(|attempt| !flight.acknowledged.contains(attempt));
-        if !flight.starts.is_empty() {
+            .retain(|attempt| !in_flight.acknowledged.contains(attempt));
+        if !in_flight.starts.is_empty() {
             self.next_inventory = self.next_inventory.min(now + times.order_interval_ms);
         }
-        if flight.inventory {
+        if in_flight.inventory {
             self.fenced = true;
             self.next_inventory = now + times.task_lease_ms * 2;
         }
@@ -235,36 +242,36 @@
         self.next_send = if more {
             now
         } else {
-            self.next_look(now, times)
+            self.next_poll(now, times)
         };
     }
 
-    /// Takes in a stamp from a message that was refused because it carried none or an old one.
-    pub fn note_expired(&mut self, now: Millis, stamp: Millis) {
-        self.flight = None;
+    /// Handles a refusal because the message carried no stamp or an expired one; the orders are resent with the new stamp.
+    pub fn note_stamp_expired(&mut self, now: Millis, stamp: Millis) {
+        self.in_flight = None;
         self.note_stamp(now, stamp);
         self.next_send = now;
     }
 
-    /// Takes in that the message under way was refused, or that nothing is known of it.
-    pub fn note_lost(&mut self, now: Millis, times: &LeaseTimes) {
-        self.flight = None;
+    /// Handles a refused or unanswered message: the orders are resent after the answer timeout.
+    pub fn note_failed(&mut self, now: Millis, times: &LeaseTimes) {
+        self.in_flight = None;
         self.next_send = now + times.answer_timeout_ms;
     }
 
-    /// Whether the message under way has waited too long for its answer.
+    /// Whether the message in flight was not answered within the answer timeout.
     pub fn is_overdue(&self, now: Millis, times: &LeaseTimes) -> bool {
-        self.flight
+        self.in_flight
             .as_ref()
-            .is_some_and(|flight| now >= flight.sent + times.answer_timeout_ms)
+            .is_some_and(|in_flight| now >= in_flight.sent + times.answer_timeout_ms)
     }
 
     fn note_stamp(&mut self, now: Millis, stamp: Millis) {
         self.stamp = stamp;
-        self.stamp_at = now;
+        self.stamp_received_at = now;
     }
 }
 
-fn take_some<'a, T: Clone + 'a>(items: impl Iterator<Item = &'a T>) -> Vec<T> {
-    items.take(MOST_ORDERS).cloned().collect()
+fn first_orders<'a, T: Clone + 'a>(items: impl Iterator<Item = &'a T>) -> Vec<T> {
+    items.take(MAX_ORDERS_PER_KIND).cloned().collect()
 }
--- a/crates/lease/src/slices.rs
+++ b/crates/lease/src/slices.rs
@@ -1,15 +1,15 @@
-//! How a team's quota is cut into slices, one for each shard, in one row of the table.
+//! Divides a team's quota into slices, one per shard, stored in one row per team.
 //!
-//! Each shard's owner changes only its own slice, conditional on the row's version, and never over what the quota leaves.
-//! A slice carries the epoch of the owner that wrote it last: an owner uses a slice only once its own epoch stands there,
-//! so that an earlier owner's late write can't change what a later one counts on.
+//! Each shard's owner changes only its own slice, conditional on the row's version, and never raises it beyond what the
+//! other slices leave of the quota. A slice carries the epoch of the owner that wrote it last. An owner uses its slice only
+//! once the slice carries its own epoch, so that an earlier owner's late write can't change a slice that a later owner uses.
 
 use std::collections::BTreeMap;
 
 use sandshelf_model::{Epoch, ResourceSize, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// One shard's slice.
+/// One shard's slice of a team's quota.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaSlice {
     /// The epoch of the owner that wrote it last.
@@ -18,36 +18,38 @@
     pub size: ResourceSize,
 }
 
-/// A team's row.
+/// The row with all slices of one team's quota.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRow {
     /// Slices by shard.
     pub slices: BTreeMap<ShardId, QuotaSlice>,
 }
 
-/// What an owner does about its slice.
+/// What an owner should do about its slice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlicePlan {
-    /// The slice suits; it may be used as it stands.
+    /// The slice needs no change; this much may be used.
     Keep(ResourceSize),
-    /// Write this row; once it stands, the slice may be used.
+    /// Write this row; the raised slice may be used once the write has taken effect.
     Raise(QuotaRow),
     /// Use no more than this from now on, then write this row.
     Lower(ResourceSize, QuotaRow),
-    /// A later owner has written the slice: leave it alone.
+    /// A later owner has written the slice; don't change it.
     Superseded,
 }
 
 impl QuotaRow {
-    /// What the quota leaves beside the other shards' slices; a dimension stops at zero.
-    fn left_for(&self, shard: &ShardId, quota: &ResourceSize) -> ResourceSize {
+    /// The quota minus the other shards' slices; at least zero in each dimension.
+    fn remaining_for(&self, shard: &ShardId, quota: &ResourceSize) -> ResourceSize {
         let others = self.slices.iter().filter(|(other, _)| *other != shard);
-        others.fold(*quota, |left, (_, slice)| {
-            left.saturating_minus(&slice.size)
+        others.fold(*quota, |remaining, (_, slice)| {
+            remaining.saturating_minus(&slice.size)
         })
     }
 
-    /// Plans an owner's slice: enough for what it wants, as far as the quota leaves that; given back where it is much too large.
+    /// Plans a change of a shard's slice, for the shard's owner with this epoch.
+    ///
+    /// The slice is raised to what is wanted as far as the quota allows, and lowered where it exceeds twice what is wanted.
     pub fn plan(
         &self,
         shard: &ShardId,
@@ -59,12 +61,12 @@
         if own.epoch > epoch {
             return SlicePlan::Superseded;
         }
-        let left = self.left_for(shard, quota);
-        let target = least(wanted, &left);
+        let remaining = self.remaining_for(shard, quota);
+        let target = min_sizes(wanted, &remaining);
         if own.epoch < epoch {
             return SlicePlan::Raise(self.with(shard, epoch, own.size.max_with(&target)));
         }
-        if is_more(&target, &own.size) {
+        if exceeds(&target, &own.size) {
             return SlicePlan::Raise(self.with(shard, epoch, own.size.max_with(&target)));
         }
         let doubled = ResourceSize {
@@ -72,8 +74,8 @@
             memory_mib: wanted.memory_mib.saturating_mul(2),
             accelerators: wanted.accelerators.saturating_mul(2),
         };
-        if is_more(&own.size, &doubled) {
-            let size = least(&own.size, wanted);
+        if exceeds(&own.size, &doubled) {
+            let size = min_sizes(&own.size, wanted);
             return SlicePlan::Lower(size, self.with(shard, epoch, size));
         }
         SlicePlan::Keep(own.size)
@@ -85,34 +87,35 @@
         row
     }
 
-    /// The slice that an owner may use: its own epoch has to stand there.
+    /// The slice that an owner may use; none where the slice doesn't carry the owner's epoch.
     pub fn usable(&self, shard: &ShardId, epoch: Epoch) -> Option<ResourceSize> {
         let slice = self.slices.get(shard)?;
         (slice.epoch == epoch).then_some(slice.size)
     }
 }
 
-/// What an owner does now about one slice.
+/// The next step of an owner for one slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SliceStep {
-    /// The slice to use from now on; none where nothing is known.
+    /// The slice to use from now on; none where the row is too old, superseded or not yet written by this owner.
     pub use_now: Option<ResourceSize>,
-    /// The row to write, conditional on the version that was planned on.
+    /// The row to write, conditional on the version that the plan was based on; none where nothing has to be written.
     pub write: Option<QuotaRow>,
 }
 
-/// One owner's dealings with its slice of one team's quota.
+/// Tracks one owner's slice of one team's quota over reads and writes of the row.
 #[derive(Clone, Debug, Default)]
 pub struct SliceTracker {
-    known: u64,
+    known_version: u64,
+    /// The row version that the last lowering was based on, and the lowered size.
     lowered: Option<(u64, ResourceSize)>,
 }
 
 impl SliceTracker {
-    /// Plans on a row as read with its version; a row older than what is known says nothing.
+    /// Plans the next step from a row as read with its version; a row older than the known version is ignored.
     ///
-    /// After a smaller slice was sent to be written, no more than that is used until the row has moved on: the write may
-    /// still arrive, and the others then count on what it gives back.
+    /// After a write of a smaller slice was sent, no more than that is used until the row has another version: the write
+    /// may still take effect, and other shards may then use the quota that it returns.
     pub fn plan(
         &mut self,
         version: u64,
@@ -122,10 +125,10 @@
         quota: &ResourceSize,
         wanted: &ResourceSize,
     ) -> SliceStep {
-        if version < self.known {
+        if version < self.known_version {
             return SliceStep::default();
         }
-        self.known = version;
+        self.known_version = version;
         self.lowered = self.lowered.filter(|(base, _)| *base == version);
         match row.plan(shard, epoch, quota, wanted) {
             SlicePlan::Keep(size) => SliceStep {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Takes in that a row was written for certain; returns the slice to use.
+    /// Records that a write of the row certainly took effect; returns the slice to use, none where it may not be used.
     pub fn note_written(
         &mut self,
         version: u64,
@@ -156,22 +159,22 @@
         shard: &ShardId,
         epoch: Epoch,
     ) -> Option<ResourceSize> {
-        if version < self.known {
+        if version < self.known_version {
             return None;
         }
-        self.known = version;
+        self.known_version = version;
         self.lowered = None;
         row.usable(shard, epoch)
     }
 
     fn capped(&self, size: ResourceSize) -> ResourceSize {
         self.lowered
-            .map_or(size, |(_, lowered)| least(&size, &lowered))
+            .map_or(size, |(_, lowered)| min_sizes(&size, &lowered))
     }
 }
 
-/// The smaller value in each dimension.
-fn least(one: &ResourceSize, other: &ResourceSize) -> ResourceSize {
+/// The smaller size in each dimension.
+fn min_sizes(one: &ResourceSize, other: &ResourceSize) -> ResourceSize {
     ResourceSize {
         cpu_millis: one.cpu_millis.min(other.cpu_millis),
         memory_mib: one.memory_mib.min(other.memory_mib),
@@ -179,7 +182,7 @@
     }
 }
 
-/// Whether `one` is larger in some dimension.
-fn is_more(one: &ResourceSize, other: &ResourceSize) -> bool {
+/// Whether `one` is larger than `other` in at least one dimension.
+fn exceeds(one: &ResourceSize, other: &ResourceSize) -> bool {
     !one.fits_in(other)
 }
--- a/crates/lease/src/state.rs
+++ b/crates/lease/src/state.rs
@@ -1,7 +1,7 @@
-//! The durable state of a shard's batch work: what the journal's records add up to.
+//! The durable state of a shard's batch tasks, built from journal records.
 //!
-//! [`ShardState::apply`] is the only way to change it, both when a group has just been committed and when the journal
-//! is read again after a takeover, so that both come to the same state.
+//! [`ShardState::apply`] is the only way to change it. It is used both after a group of records was committed and when
+//! the journal is replayed after a takeover, so that both give the same state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequeueCause {
-    /// It was never started.
+    /// The attempt was never started.
     NotRun,
-    /// It was evicted.
+    /// The attempt was evicted.
     Evicted,
-    /// Its worker was lost, and its lease there is over.
+    /// The attempt was cut off, because its worker was lost, its lease expired or its worker was quarantined.
     WorkerLost,
-    /// It failed by itself.
+    /// The attempt failed by itself.
     Failed,
-    /// It belongs to a standing watch and ended.
+    /// The attempt belongs to a watch job, which never finishes, and ended.
     WatchEnded,
 }
 
-/// Where a task is in its life.
+/// The stage that a task has reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskStage {
-    /// It waits for a place.
+    /// It waits to be placed on a worker.
     #[default]
     Waiting,
-    /// Its newest attempt may be started, or runs, on this worker.
+    /// Its newest attempt was placed on this worker, and may be running there.
     Placed(WorkerId),
-    /// Its newest attempt finished with outputs under this key.
+    /// Its newest attempt finished; its outputs are stored under this key.
     Finished(String),
     /// It was given up, for this reason.
     Failed(String),
@@ -45,17 +45,17 @@
     Cancelled,
     /// No worker could ever hold it, for this reason.
     Unplaceable(String),
-    /// It belongs to another shard now.
+    /// It was handed off to this shard.
     HandedOff(ShardId),
 }
 
 impl TaskStage {
-    /// Whether nothing more will happen to the task in this shard.
+    /// Whether the stage is final in this shard.
     pub fn is_over(&self) -> bool {
         !matches!(self, TaskStage::Waiting | TaskStage::Placed(_))
     }
 
-    /// The stage's name in logs and tables.
+    /// The stage's name in logs and in printed tables.
     pub fn label(&self) -> &'static str {
         match self {
             TaskStage::Waiting => "waiting",
@@ -72,31 +72,31 @@
 /// One task's durable state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// Where it is in its life.
+    /// The stage that the task has reached.
     pub stage: TaskStage,
     /// The number of its newest attempt; 0 before the first.
     pub attempts: u32,
-    /// How many attempts failed by themselves.
+    /// How many of its attempts failed by themselves.
     pub failures: u32,
     /// How often it was evicted.
     pub evictions: u32,
-    /// How often it was handed to another shard.
+    /// How often it was handed off to another shard.
     pub hops: u32,
-    /// The newest confirmed checkpoint.
+    /// The key of its newest confirmed checkpoint.
     pub checkpoint: Option<String>,
 }
 
-/// One job and this shard's tasks of it.
+/// One job and those of its tasks that belong to this shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobState {
     /// The job as declared.
     pub spec: Arc<JobSpec>,
-    /// Its tasks by position.
+    /// This shard's tasks of the job, by position within the job.
     pub tasks: BTreeMap<u32, TaskState>,
 }
 
 impl JobState {
-    /// Whether nothing is left to do.
+    /// Whether all of this shard's tasks of the job have reached a final stage.
     pub fn is_over(&self) -> bool {
         self.tasks
             .values()
@@ -104,34 +104,34 @@
     }
 }
 
-/// Counts of records, for metrics and for bounds in tests.
+/// Counts of applied and stale records, for metrics and for bounds in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordStats {
-    /// Tasks finished.
+    /// Tasks that finished.
     pub finished: u64,
-    /// Finishes that came too late to count.
+    /// Finishes of attempts that were no longer placed, so that they didn't count.
     pub late_finishes: u64,
     /// Evictions.
     pub evictions: u64,
     /// Attempts that were placed.
     pub placed: u64,
-    /// Other records that no longer applied.
+    /// Records that changed nothing, because the task or job had changed before.
     pub stale: u64,
 }
 
-/// What came of applying a record.
+/// The effect of applying a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordEffect {
-    /// It took effect.
+    /// The record changed the state.
     Applied,
-    /// It was about something that had moved on, and changed nothing.
+    /// The record changed nothing, because the task or job had changed before.
     Stale,
 }
 
 /// The durable state of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardState {
-    /// The newest configuration that was taken in.
+    /// The revision of the newest configuration that was applied.
     pub revision: Revision,
     /// Jobs by name.
     pub jobs: BTreeMap<JobId, JobState>,
@@ -142,12 +142,12 @@
 }
 
 impl ShardState {
-    /// Finds a task.
+    /// Looks up a task; none where this shard doesn't know it.
     pub fn task_state(&self, task: &TaskId) -> Option<&TaskState> {
         self.jobs.get(&task.job)?.tasks.get(&task.index)
     }
 
-    /// Finds the declaration of a task's job.
+    /// Looks up a job's declaration; none where this shard has no task of it.
     pub fn spec(&self, job: &JobId) -> Option<&Arc<JobSpec>> {
         self.jobs.get(job).map(|job_state| &job_state.spec)
     }
@@ -157,17 +157,17 @@
         self.placed.get(worker).into_iter().flatten()
     }
 
-    /// The workers on which something is placed.
+    /// The workers on which attempts are placed.
     pub fn placed_workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.placed.keys()
     }
 
-    /// How many attempts are placed.
+    /// The number of placed attempts.
     pub fn placed_count(&self) -> usize {
         self.placed.values().map(BTreeSet::len).sum()
     }
 
-    /// The worker on which `attempt` is placed, where it is its task's newest.
+    /// The worker on which `attempt` is placed; none where it isn't placed or isn't its task's newest attempt.
     pub fn current_worker(&self, attempt: &AttemptId) -> Option<&WorkerId> {
         let task_state = self.task_state(&attempt.task)?;
         match &task_state.stage {
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Builds the index of placed attempts anew, after a snapshot was read.
-    pub fn reindex(&mut self) {
+    /// Rebuilds the index of placed attempts, which snapshots don't contain.
+    pub fn rebuild_index(&mut self) {
         self.placed.clear();
         for (job, job_state) in &self.jobs {
             for (&index, task_state) in &job_state.tasks {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Applies one record.
+    /// Applies one record; a stale record only raises the counts of stale records and late finishes.
     pub fn apply(&mut self, record: &JournalRecord) -> RecordEffect {
         let applied = match record {
             JournalRecord::Revised { revision } => self.apply_revised(*revision),
@@ -349,7 +349,10 @@
         true
     }
 
-    /// Each hand-off raises the task's hops, so that an entry read twice is told from a task that came back.
+    /// Adds a handed-off task, unless the same hand-off was applied before.
+    ///
+    /// Each hand-off raises the task's hop count: an inbox entry that is read twice has a hop count that is already known,
+    /// a task that returns to this shard has a higher one.
     fn apply_adopted(&mut self, handoff: &TaskHandoff) -> bool {
         let known = self.task_state(&handoff.task());
         if known.is_some_and(|known| known.hops >= handoff.state.hops) {
@@ -367,7 +370,7 @@
         true
     }
 
-    /// Ends a task that isn't over; its placed attempt, if any, no longer counts.
+    /// Moves a task to a final stage unless it has reached one; its placed attempt, if any, no longer counts.
     fn end_task(&mut self, task: &TaskId, stage: TaskStage) -> bool {
         let Some(task_state) = self.task_state_mut(task) else {
             return false;
@@ -387,7 +390,7 @@
         true
     }
 
-    /// Takes `attempt` off its worker where it is its task's newest and placed.
+    /// Removes `attempt` from its worker; returns false where it isn't placed or isn't its task's newest attempt.
     fn unplace(&mut self, attempt: &AttemptId) -> bool {
         let Some(worker) = self.current_worker(attempt).cloned() else {
             return false;
@@ -409,7 +412,7 @@
         self.jobs.get_mut(&task.job)?.tasks.get_mut(&task.index)
     }
 
-    /// Whether a job ends at all.
+    /// Whether a job is a watch job, which never finishes.
     pub fn is_watch(&self, job: &JobId) -> bool {
         self.spec(job)
             .is_some_and(|spec| spec.kind == JobKind::Watch)
--- a/crates/lease/src/window.rs
+++ b/crates/lease/src/window.rs
@@ -1,4 +1,4 @@
-//! Some waiting tasks of one list, by family, with what each family's next task would cost.
+//! A window of waiting tasks from one list, grouped by family, with the placement cost of each family's next task.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,37 +10,37 @@
     cost: f64,
 }
 
-/// Waiting tasks by family.
+/// Waiting tasks grouped by family.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FamilyWindow {
     families: BTreeMap<String, FamilyTasks>,
 }
 
 impl FamilyWindow {
-    /// Adds a task behind those of its family.
+    /// Adds a task after the other tasks of its family.
     pub(crate) fn push(&mut self, family: &str, task: TaskId) {
         let tasks = self.families.entry(family.to_owned()).or_default();
         tasks.tasks.push_back(task);
     }
 
-    /// The families with tasks left.
+    /// The families that still have tasks.
     pub(crate) fn families(&self) -> Vec<String> {
         self.families.keys().cloned().collect()
     }
 
-    /// The next task of a family.
+    /// The next task of a family; none where it has no tasks.
     pub(crate) fn first(&self, family: &str) -> Option<&TaskId> {
         self.families.get(family)?.tasks.front()
     }
 
-    /// Notes what the next task of a family would cost.
+    /// Sets the placement cost of a family's next task.
     pub(crate) fn set_cost(&mut self, family: &str, cost: f64) {
         if let Some(tasks) = self.families.get_mut(family) {
             tasks.cost = cost;
         }
     }
 
-    /// Takes the next task of the family that costs least.
+    /// Removes and returns the next task of the family with the lowest cost; none where no tasks remain.
     pub(crate) fn pop_cheapest(&mut self) -> Option<(String, TaskId)> {
         let cheapest = self
             .families
