--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -62,13 +62,14 @@
             self.lease.stage(),
             LeaseStage::Holding | LeaseStage::Recovering
         );
-        let records_wait = !self.buffer.is_empty();
-        if self.releasing && !records_wait {
+        let has_records = !self.buffer.is_empty();
+        if self.releasing && !has_records {
             self.release(now);
             return;
         }
-        let spaced = now >= self.last_commit + self.times.commit_interval_ms || self.urgent_pending;
-        let due = (records_wait && spaced) || self.lease.wants_renewal(now);
+        let interval_passed =
+            now >= self.last_commit + self.times.commit_interval_ms || self.urgent_pending;
+        let due = (has_records && interval_passed) || self.lease.wants_renewal(now);
         if held && due {
             self.commit_buffer(now);
         }
@@ -130,11 +131,11 @@
         if !pending.checking && now >= pending.sent + timeout_ms {
             pending.checking = true;
         }
-        let asked = self
+        let reading = self
             .row_read_since
             .is_some_and(|since| now < since + timeout_ms);
-        if pending.checking && !asked && now >= self.next_row_read {
-            self.ask_row(now);
+        if pending.checking && !reading && now >= self.next_row_read {
+            self.request_row_read(now);
         }
     }
 
@@ -156,9 +157,9 @@
     }
 
     pub(crate) fn on_row(&mut self, now: Millis, read: StoredRow) {
-        let asked = self.row_read_since.take();
-        if let Some(asked) = asked {
-            self.lease.note_read_time(now.saturating_sub(asked));
+        let requested_at = self.row_read_since.take();
+        if let Some(requested_at) = requested_at {
+            self.lease.note_read_time(now.saturating_sub(requested_at));
         }
         let Some(pending) = &mut self.pending else {
             if self.lease.note_read(now, read) {
@@ -170,7 +171,7 @@
             self.complete(now, read.version);
         } else if read.version == pending.request.expect {
             // Only a read that was requested after the write was sent can show that the write has not taken effect.
-            let conclusive = asked.is_some_and(|asked| asked >= pending.sent);
+            let conclusive = requested_at.is_some_and(|requested_at| requested_at >= pending.sent);
             if pending.checking && conclusive {
                 // The same conditional write can be retried: at most one of the two can take effect.
                 pending.checking = false;
@@ -179,7 +180,7 @@
                 self.counts.commits += 1;
                 self.actions.push(ShardAction::Commit(request));
             }
-        } else if asked.is_some() && read.version > pending.request.expect {
+        } else if requested_at.is_some() && read.version > pending.request.expect {
             let held = *self.lease.stage() != LeaseStage::Claiming;
             self.lease.return_to_watching();
             self.lease.note_read(now, read);
@@ -196,10 +197,7 @@
     }
 
     fn complete(&mut self, now: Millis, version: RowVersion) {
-        let pending = self
-            .pending
-            .take()
-            .expect("a completed write was under way");
+        let pending = self.pending.take().expect("a completed write was pending");
         let request = pending.request;
         let claimed = *self.lease.stage() == LeaseStage::Claiming;
         let released = request.row.owner.is_none();
@@ -379,7 +377,8 @@
         }
     }
 
-    /// For how many milliseconds from `now` unreachable workers may still run tasks that this or an earlier owner renewed.
+    /// For how many milliseconds from `now` unreachable workers may still run tasks
+    /// that this or an earlier owner renewed.
     fn remaining_silence_ms(&self, now: Millis) -> Millis {
         let own = self.times.task_lease_ms + self.times.drift_ms;
         let unreached = self.sessions.values().filter(|session| !session.fenced);
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -98,7 +98,8 @@
         /// The measurement.
         sample: PairSample,
     },
-    /// A policy of the caller requests the eviction of an attempt; one that can neither resume nor run again is left alone.
+    /// A policy of the caller requests the eviction of an attempt; one that can neither
+    /// resume nor run again is left alone.
     EvictRequested(AttemptId),
     /// This host's position among the candidates for the shard, from 0; none where it must not claim the shard.
     RankUpdated(Option<u32>),
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -140,7 +140,7 @@
             if !self.adopting.insert(task.clone()) {
                 continue;
             }
-            self.buffer.push(if self.declares(&task.job) {
+            self.buffer.push(if self.is_declared(&task.job) {
                 let handoff = Box::new(handoff);
                 JournalRecord::Adopted { handoff }
             } else {
@@ -154,7 +154,7 @@
         *self.lease.stage() == LeaseStage::Holding && self.pending.is_none()
     }
 
-    fn declares(&self, job: &JobId) -> bool {
+    fn is_declared(&self, job: &JobId) -> bool {
         let set = self.config.as_ref().map(|(_, set, _)| set);
         set.is_some_and(|set| set.jobs.iter().any(|spec| &spec.name == job))
     }
--- a/crates/lease/src/journal.rs
+++ b/crates/lease/src/journal.rs
@@ -77,7 +77,8 @@
         /// The task as the other shard handed it off.
         handoff: Box<TaskHandoff>,
     },
-    /// An inbox entry is discarded because its job is no longer declared; the same transaction removes it from the inbox.
+    /// An inbox entry is discarded because its job is no longer declared; the same
+    /// transaction removes it from the inbox.
     InboxDropped {
         /// The task.
         task: TaskId,
@@ -114,8 +115,8 @@
     /// The task's state when it was handed off.
     #[serde(rename = "cell")]
     pub state: TaskState,
-    /// The configuration revision that the sender had applied; the receiver adopts the task only once it has applied this
-    /// revision or a newer one.
+    /// The configuration revision that the sender had applied; the receiver adopts the task only once it has
+    /// applied this revision or a newer one.
     pub revision: Revision,
 }
 
--- a/crates/lease/src/members.rs
+++ b/crates/lease/src/members.rs
@@ -4,7 +4,8 @@
 
 use sandshelf_model::{rendezvous_score, HostId, Millis, ShardId};
 
-/// A host that was not heard from for this many milliseconds is not a candidate for claims. Safety doesn't depend on it.
+/// A host that was not heard from for this many milliseconds is not a candidate for
+/// claims. Safety doesn't depend on it.
 const HOST_SILENT_AFTER_MS: Millis = 3_000;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -276,17 +276,17 @@
 
     fn watch_row(&mut self, now: Millis) {
         let watching = *self.lease.stage() == LeaseStage::Watching;
-        let asked = self
+        let reading = self
             .row_read_since
             .is_some_and(|since| now < since + self.times.answer_timeout_ms);
-        if !watching || asked || now < self.next_watch_read {
+        if !watching || reading || now < self.next_watch_read {
             return;
         }
         self.next_watch_read = now + self.times.shard_lease_ms / ROW_READS_PER_LEASE;
-        self.ask_row(now);
+        self.request_row_read(now);
     }
 
-    pub(crate) fn ask_row(&mut self, now: Millis) {
+    pub(crate) fn request_row_read(&mut self, now: Millis) {
         self.row_read_since = Some(now);
         self.next_row_read = now + self.times.answer_timeout_ms;
         self.counts.row_reads += 1;
@@ -317,10 +317,10 @@
             return;
         }
         let timeout_ms = self.times.shard_lease_ms;
-        let asked = self
+        let loading = self
             .loading_since
             .is_some_and(|since| now < since + timeout_ms);
-        if asked || now < self.next_load {
+        if loading || now < self.next_load {
             return;
         }
         self.next_load = now + self.times.answer_timeout_ms;
--- a/crates/lease/src/owner/view.rs
+++ b/crates/lease/src/owner/view.rs
@@ -79,7 +79,8 @@
         &self.quotas
     }
 
-    /// The quota that a team needs in this shard: what its placed attempts hold plus the size of its next waiting tasks.
+    /// The quota that a team needs in this shard: what its placed attempts hold plus
+    /// the size of its next waiting tasks.
     ///
     /// Counts at most 64 waiting tasks of each urgency.
     pub fn quota_demand(&self, team: &TeamId) -> ResourceSize {
--- a/crates/lease/src/ownership.rs
+++ b/crates/lease/src/ownership.rs
@@ -1,14 +1,16 @@
 //! The ownership lease of a shard, as one entry host knows it from the shard's row.
 //!
-//! The owner's lease starts when it sends the write that renews it. Another host claims the shard only after it has seen
-//! the row unchanged for a whole lease on its own clock, and its claim is conditional on the row's version that it saw.
+//! The owner's lease starts when it sends the write that renews it. Another host claims the
+//! shard only after it has seen the row unchanged for a whole lease on its own clock, and its
+//! claim is conditional on the row's version that it saw.
 
 use sandshelf_model::{Epoch, HostId, Millis};
 
 use crate::row::{RowVersion, ShardRow, StoredRow};
 use crate::times::LeaseTimes;
 
-/// A lease is extended by this number of recent store call times, so that a slow store alone doesn't change a shard's owner.
+/// A lease is extended by this number of recent store call times, so that a slow store
+/// alone doesn't change a shard's owner.
 const SLOW_STORE_CALLS: u64 = 4;
 
 /// An entry host's stage in owning a shard.
@@ -69,7 +71,8 @@
         self.seen.as_ref()
     }
 
-    /// Whether this host holds the shard and its lease has not expired, so that new placements can be expected to commit.
+    /// Whether this host holds the shard and its lease has not expired, so that new
+    /// placements can be expected to commit.
     ///
     /// Safety doesn't depend on it: a placement counts only once its write has taken effect, and a later owner's claim
     /// prevents that.
@@ -100,8 +103,8 @@
         self.newest_epoch
     }
 
-    /// For how many milliseconds from `now` this host will certainly not claim the shard; 0 where it may claim at any time
-    /// or already has.
+    /// For how many milliseconds from `now` this host will certainly not claim the shard; 0 where it
+    /// may claim at any time or already has.
     pub fn claims_after(&self, now: Millis) -> Millis {
         let lease = self.times.shard_lease_ms;
         match (&self.stage, &self.seen) {
@@ -113,14 +116,16 @@
         }
     }
 
-    /// Records the duration of a read. Where the store is slow for this host, the owner's renewals are probably slow, too.
+    /// Records the duration of a read. Where the store is slow for this host, the
+    /// owner's renewals are probably slow, too.
     pub fn note_read_time(&mut self, took: Millis) {
         self.recent_read_ms = took.max(self.recent_read_ms * 3 / 4);
     }
 
     /// Records the row as read at `now`; a row with another owner returns this host to watching.
     ///
-    /// A row that is older than the known one is ignored. Returns true if this host has just lost the shard or its claim.
+    /// A row that is older than the known one is ignored. Returns true if this host has
+    /// just lost the shard or its claim.
     pub fn note_read(&mut self, now: Millis, read: StoredRow) -> bool {
         let known = self.seen.as_ref().map(|seen| seen.version);
         if known.is_some_and(|known| read.version < known) {
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -20,9 +20,11 @@
 const MAX_EXAMINED_PER_LIST: usize = 128;
 /// Above this number of buffered records, no further tasks are placed or handed off.
 const MAX_BUFFERED_RECORDS: usize = 4_000;
-/// How long a task waits for capacity in this shard before it may be handed off, in milliseconds; doubles with each hand-off.
+/// How long a task waits for capacity in this shard before it may be handed off, in milliseconds;
+/// doubles with each of the first 6 hand-offs.
 const HANDOFF_WAIT_MS: Millis = 3_000;
-/// How long an urgent task waits for capacity before it may be handed off, in milliseconds; doubles with each hand-off.
+/// How long an urgent task waits for capacity before it may be handed off, in milliseconds;
+/// doubles with each of the first 6 hand-offs.
 const URGENT_HANDOFF_WAIT_MS: Millis = 200;
 /// Interval between scans for waiting tasks to hand off, in milliseconds.
 const HANDOFF_SCAN_INTERVAL_MS: Millis = 100;
@@ -229,8 +231,8 @@
         true
     }
 
-    /// Ends a task that no worker of any shard could ever hold; it waits where another shard could hold it, or where not
-    /// all shards have published their capacity.
+    /// Ends a task that no worker of any shard could ever hold; it waits where another shard could hold it, or where
+    /// not all shards have published their capacity.
     fn give_up_if_unplaceable(&mut self, task: &TaskId, size: &ResourceSize) -> PlacementResult {
         let elsewhere = self.rooms.iter().any(|room| size.fits_in(&room.capacity));
         let shards = self
@@ -270,7 +272,8 @@
         }
     }
 
-    /// Releases the capacity and quota of an attempt that no longer runs; returns its worker, none where it held nothing.
+    /// Releases the capacity and quota of an attempt that no longer runs; returns its
+    /// worker, none where it held nothing.
     pub(crate) fn drop_hold(&mut self, attempt: &AttemptId) -> Option<WorkerId> {
         self.placed_reasons.remove(attempt);
         let held = self.held.remove(attempt)?;
@@ -313,7 +316,7 @@
             if chosen.len() >= MAX_HANDED_OFF_PER_SCAN {
                 break;
             }
-            if self.has_waited(now, task) {
+            if self.has_waited_enough(now, task) {
                 chosen.push(task.clone());
             }
         }
@@ -323,7 +326,7 @@
         }
     }
 
-    fn has_waited(&self, now: Millis, task: &TaskId) -> bool {
+    fn has_waited_enough(&self, now: Millis, task: &TaskId) -> bool {
         let Some(since) = self.waiting_since.get(task) else {
             return false;
         };
@@ -331,7 +334,7 @@
             .state
             .spec(&task.job)
             .is_some_and(|spec| self.pending_key(spec).urgent);
-        let wait = if urgent {
+        let wait_ms = if urgent {
             URGENT_HANDOFF_WAIT_MS
         } else {
             HANDOFF_WAIT_MS
@@ -341,7 +344,7 @@
             .task_state(task)
             .map_or(0, |task_state| task_state.hops)
             .min(6);
-        now >= since + (wait << hops)
+        now >= since + (wait_ms << hops)
     }
 
     fn hand_off(&mut self, task: &TaskId) {
@@ -371,8 +374,8 @@
 
     /// Chooses the shard to hand a task to: one with enough free capacity.
     ///
-    /// Where there is none and this shard has no workers or the task is urgent, the task goes to a shard with a worker large
-    /// enough for it, chosen in rotation, and waits in that shard's queue.
+    /// Where there is none and this shard has no workers or the task is urgent, the task goes to a shard with a worker
+    /// large enough for it, chosen in rotation, and waits in that shard's queue.
     fn shard_for(&mut self, size: &ResourceSize, urgent: bool) -> Option<ShardId> {
         let with_room = self.shard_with_room(size);
         let no_workers = self.pool.is_empty();
@@ -417,7 +420,8 @@
         }
     }
 
-    /// Learns from a delayed slowdown measurement, and throttles or evicts an attempt where the service is slowed too much.
+    /// Learns from a delayed slowdown measurement, and throttles or evicts an attempt
+    /// where the service is slowed too much.
     pub(crate) fn on_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: &PairSample) {
         self.pool.estimate.learn(sample, now);
         self.pool.set_band(worker, sample.band);
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -40,7 +40,7 @@
                 // A newer owner may have sent orders to the worker: read the row first to find out who owns the shard.
                 session.note_failed(now, &times);
                 if self.pending.is_none() {
-                    self.ask_row(now);
+                    self.request_row_read(now);
                 }
             }
             Some(OrderRefusal::StampExpired) => session.note_stamp_expired(now, report.stamp),
@@ -93,8 +93,8 @@
             return;
         };
         for tenant in &tenants {
-            if let Ok(left) = room.minus(&tenant.size) {
-                room = left;
+            if let Ok(remaining) = room.minus(&tenant.size) {
+                room = remaining;
             } else if !session.evicting.contains(&tenant.attempt) {
                 session.push_checkpoint(&tenant.attempt);
             }
@@ -118,7 +118,7 @@
             AttemptPhase::Running => self.stop_superseded(worker, report),
             _ if !current => self.acknowledge_superseded(worker, report),
             AttemptPhase::Finished(output) => {
-                self.finish(worker, report, output);
+                self.finish_attempt(worker, report, output);
             }
             AttemptPhase::Failed => self.fail_attempt(now, worker, attempt),
             AttemptPhase::Checkpointed(key) => {
@@ -142,8 +142,8 @@
         self.hold_capacity(&report.attempt, worker, &spec, size);
         if let Some(session) = self.sessions.get_mut(worker) {
             session.confirmed.insert(report.attempt.clone());
-            let left = expected.saturating_sub(report.ran_ms);
-            session.expect_end(&report.attempt, now + left);
+            let remaining_ms = expected.saturating_sub(report.ran_ms);
+            session.expect_end(&report.attempt, now + remaining_ms);
         }
     }
 
@@ -202,7 +202,7 @@
         }
     }
 
-    fn finish(&mut self, worker: &WorkerId, report: &AttemptReport, output: &str) {
+    fn finish_attempt(&mut self, worker: &WorkerId, report: &AttemptReport, output: &str) {
         let attempt = &report.attempt;
         if self.state.is_watch(&attempt.task.job) {
             self.requeue(attempt, RequeueCause::WatchEnded, None);
@@ -226,8 +226,8 @@
             return;
         }
         let task = &attempt.task;
-        let closed = self.pool.quarantine.note_failure(worker, &task.job, now);
-        if closed {
+        let quarantined = self.pool.quarantine.note_failure(worker, &task.job, now);
+        if quarantined {
             self.note(ShardNote::Quarantined(worker.clone()));
         }
         let repeatable = self
@@ -241,11 +241,11 @@
             + 1;
         if !repeatable {
             self.give_up(attempt, "it failed and may not be run again");
-        } else if failures >= MAX_TASK_FAILURES && !closed {
+        } else if failures >= MAX_TASK_FAILURES && !quarantined {
             self.give_up(attempt, "it failed on three workers");
         } else {
             self.avoid.insert(task.clone(), worker.clone());
-            let cause = if closed {
+            let cause = if quarantined {
                 RequeueCause::WorkerLost
             } else {
                 RequeueCause::Failed
@@ -306,7 +306,8 @@
         true
     }
 
-    /// Requeues attempts that are placed on a worker but missing from its inventory, unless their start is still to be sent.
+    /// Requeues attempts that are placed on a worker but missing from its inventory,
+    /// unless their start is still to be sent.
     fn requeue_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let listed: BTreeSet<&AttemptId> =
             report.attempts.iter().map(|entry| &entry.attempt).collect();
@@ -328,7 +329,8 @@
         }
     }
 
-    /// Releases the capacity of attempts that are missing from the worker's inventory and for which no record is pending.
+    /// Releases the capacity of attempts that are missing from the worker's inventory
+    /// and for which no record is pending.
     fn release_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let stale: Vec<AttemptId> = self
             .pool
--- a/crates/lease/src/row.rs
+++ b/crates/lease/src/row.rs
@@ -32,8 +32,8 @@
     /// version, which doesn't know this field and drops it, has written the row since.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rules_since: Epoch,
-    /// The address at which the owner accepts connections of other hosts; none where it accepts none, or runs a version that
-    /// doesn't know this field.
+    /// The address at which the owner accepts connections of other hosts; none where it accepts none, or runs a
+    /// version that doesn't know this field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub relay_address: Option<SocketAddr>,
 }
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -7,8 +7,8 @@
 use crate::orders::{StartOrder, TaskOrder, WorkerOrders};
 use crate::times::LeaseTimes;
 
-/// The maximum number of attempts per kind of order (start, stop, ...) and of acknowledgements in one message, so that a
-/// burst is spread over several messages.
+/// The maximum number of attempts per kind of order (start, stop, ...) and of acknowledgements in one message, so that
+/// a burst is spread over several messages.
 const MAX_ORDERS_PER_KIND: usize = 256;
 
 /// How long after an attempt's expected end its worker is polled, in milliseconds.
@@ -126,7 +126,8 @@
         self.expected_ends.insert(attempt.clone(), at);
     }
 
-    /// When the worker is next polled if no order is queued: after the order interval, or just after the next expected end.
+    /// When the worker is next polled if no order is queued: after the order interval,
+    /// or just after the next expected end.
     fn next_poll(&self, now: Millis, times: &LeaseTimes) -> Millis {
         let period = now + times.order_interval_ms;
         let ends = self.expected_ends.values().filter(|at| **at > now);
@@ -237,16 +238,17 @@
             self.next_inventory = now + times.task_lease_ms * 2;
         }
         self.note_stamp(now, stamp);
-        let more =
+        let has_orders =
             !(self.starts.is_empty() && self.stops.is_empty() && self.checkpoints.is_empty());
-        self.next_send = if more {
+        self.next_send = if has_orders {
             now
         } else {
             self.next_poll(now, times)
         };
     }
 
-    /// Handles a refusal because the message carried no stamp or an expired one; the orders are resent with the new stamp.
+    /// Handles a refusal because the message carried no stamp or an expired one; the
+    /// orders are resent with the new stamp.
     pub fn note_stamp_expired(&mut self, now: Millis, stamp: Millis) {
         self.in_flight = None;
         self.note_stamp(now, stamp);
--- a/crates/lease/src/slices.rs
+++ b/crates/lease/src/slices.rs
@@ -1,8 +1,9 @@
 //! Divides a team's quota into slices, one per shard, stored in one row per team.
 //!
-//! Each shard's owner changes only its own slice, conditional on the row's version, and never raises it beyond what the
-//! other slices leave of the quota. A slice carries the epoch of the owner that wrote it last. An owner uses its slice only
-//! once the slice carries its own epoch, so that an earlier owner's late write can't change a slice that a later owner uses.
+//! Each shard's owner changes only its own slice, conditional on the row's version, and never raises it beyond
+//! what the other slices leave of the quota. A slice carries the epoch of the owner that wrote it last. An
+//! owner uses its slice only once the slice carries its own epoch, so that an earlier owner's late write can't
+//! change a slice that a later owner uses.
 
 use std::collections::BTreeMap;
 
@@ -49,7 +50,8 @@
 
     /// Plans a change of a shard's slice, for the shard's owner with this epoch.
     ///
-    /// The slice is raised to what is wanted as far as the quota allows, and lowered where it exceeds twice what is wanted.
+    /// The slice is raised to what is wanted as far as the quota allows, and lowered
+    /// where it exceeds twice what is wanted.
     pub fn plan(
         &self,
         shard: &ShardId,
@@ -114,8 +116,8 @@
 impl SliceTracker {
     /// Plans the next step from a row as read with its version; a row older than the known version is ignored.
     ///
-    /// After a write of a smaller slice was sent, no more than that is used until the row has another version: the write
-    /// may still take effect, and other shards may then use the quota that it returns.
+    /// After a write of a smaller slice was sent, no more than that is used until the row has another version: the
+    /// write may still take effect, and other shards may then use the quota that it returns.
     pub fn plan(
         &mut self,
         version: u64,
--- a/crates/lease/src/state.rs
+++ b/crates/lease/src/state.rs
@@ -351,8 +351,8 @@
 
     /// Adds a handed-off task, unless the same hand-off was applied before.
     ///
-    /// Each hand-off raises the task's hop count: an inbox entry that is read twice has a hop count that is already known,
-    /// a task that returns to this shard has a higher one.
+    /// Each hand-off raises the task's hop count: an inbox entry that is read twice has a hop count that is already
+    /// known, a task that returns to this shard has a higher one.
     fn apply_adopted(&mut self, handoff: &TaskHandoff) -> bool {
         let known = self.task_state(&handoff.task());
         if known.is_some_and(|known| known.hops >= handoff.state.hops) {
--- a/crates/lease/src/times.rs
+++ b/crates/lease/src/times.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// For how many milliseconds after a takeover an unreachable worker may still run tasks that the earlier owner renewed.
+    /// For how many milliseconds after a takeover an unreachable worker may still run
+    /// tasks that the earlier owner renewed.
     pub fn silence_ms(&self) -> Millis {
         self.renewal_grace_ms + self.task_lease_ms + self.drift_ms
     }
