--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -1,10 +1,9 @@
-//! Durable writes: groups of records, lost answers, takeover and release, snapshots.
+//! Performs a shard's durable writes: record groups, claim and release, snapshots, and retries after lost answers.
 
 use std::sync::Arc;
 
 use sandshelf_model::{content_digest, AttemptId, JobId, Millis, Sequence, TaskId, WorkerId};
 
-use crate::book::{RecordEffect, TaskBook, TaskStage};
 use crate::events::{ShardAction, ShardNote};
 use crate::journal::{CommitAnswer, CommitRequest, JournalRecord};
 use crate::orders::StartOrder;
@@ -12,33 +11,38 @@
 use crate::ownership::LeaseStage;
 use crate::recovery::{decode_snapshot, encode_snapshot};
 use crate::row::{RowVersion, ShardRow, StoredRow};
+use crate::state::{RecordEffect, ShardState, TaskStage};
 
-/// The most records in one transaction.
-const MOST_RECORDS: usize = 2_000;
-/// The most journal rows that one transaction deletes.
-const MOST_TRIMMED: u64 = 100;
+/// The maximum number of journal records in one transaction.
+const MAX_RECORDS_PER_COMMIT: usize = 2_000;
+/// The maximum number of journal rows that one transaction deletes.
+const MAX_TRIMMED_PER_COMMIT: u64 = 100;
 
-/// The transaction under way; there is at most one.
+/// The transaction in progress; there is at most one.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCommit {
     request: CommitRequest,
     first_sent: Millis,
+    /// When it was last sent.
     sent: Millis,
-    /// The outcome is unknown and the row is being read to learn it.
+    /// The outcome is unknown; the row is read to find out.
     checking: bool,
 }
 
-/// A snapshot on its way to the object store.
+/// The progress of writing snapshots to the object store.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SnapshotWork {
+pub(crate) struct SnapshotProgress {
+    /// Records committed since the last snapshot was encoded.
     records: u64,
-    under_way: Option<(String, Sequence)>,
+    /// The digest and sequence of the snapshot that is being stored.
+    in_progress: Option<(String, Sequence)>,
+    /// The digest and sequence of a stored snapshot that the row doesn't name yet.
     stored: Option<(String, Sequence)>,
 }
 
-impl SnapshotWork {
+impl SnapshotProgress {
     pub(crate) fn note_stored(&mut self, digest: &str, stored: bool) {
-        let Some((expected, sequence)) = self.under_way.take() else {
+        let Some((expected, sequence)) = self.in_progress.take() else {
             return;
         };
         if expected == digest && stored {
@@ -48,7 +52,7 @@
 }
 
 impl ShardOwner {
-    /// Writes what has gathered, or renews the lease, where it is time for that.
+    /// Commits the buffered records, renews the lease or releases the shard, whichever is due.
     pub(crate) fn flush(&mut self, now: Millis) {
         self.check_overdue(now);
         if self.pending.is_some() {
@@ -58,20 +62,21 @@
             self.lease.stage(),
             LeaseStage::Holding | LeaseStage::Recovering
         );
-        let records_wait = !self.buffer.is_empty();
-        if self.releasing && !records_wait {
+        let has_records = !self.buffer.is_empty();
+        if self.releasing && !has_records {
             self.release(now);
             return;
         }
-        let spaced = now >= self.last_commit + self.times.commit_every_ms || self.urgent_waits;
-        let due = (records_wait && spaced) || self.lease.wants_renewal(now);
+        let interval_passed =
+            now >= self.last_commit + self.times.commit_interval_ms || self.urgent_pending;
+        let due = (has_records && interval_passed) || self.lease.wants_renewal(now);
         if held && due {
             self.commit_buffer(now);
         }
     }
 
     fn commit_buffer(&mut self, now: Millis) {
-        let count = self.buffer.len().min(MOST_RECORDS);
+        let count = self.buffer.len().min(MAX_RECORDS_PER_COMMIT);
         let records: Vec<JournalRecord> = self.buffer.drain(..count).collect();
         let token = self.next_token();
         let (expect, mut row) = self.lease.next_row(token);
@@ -79,7 +84,7 @@
             row.snapshot = Some(digest);
             row.snapshot_sequence = sequence;
         }
-        self.urgent_waits = false;
+        self.urgent_pending = false;
         self.send_commit(now, expect, row, records);
     }
 
@@ -91,7 +96,9 @@
         records: Vec<JournalRecord>,
     ) {
         let trim_from = row.trimmed_sequence;
-        let trim_to = row.snapshot_sequence.min(trim_from + MOST_TRIMMED);
+        let trim_to = row
+            .snapshot_sequence
+            .min(trim_from + MAX_TRIMMED_PER_COMMIT);
         row.trimmed_sequence = trim_to.max(trim_from);
         let request = CommitRequest {
             expect,
@@ -115,18 +122,20 @@
         });
     }
 
-    /// Treats a transaction that was not answered in time as one of unknown outcome.
+    /// Reads the row to find out the outcome of a transaction that was not answered within the timeout.
     fn check_overdue(&mut self, now: Millis) {
-        let patience = self.times.answer_ms;
+        let timeout_ms = self.times.answer_timeout_ms;
         let Some(pending) = &mut self.pending else {
             return;
         };
-        if !pending.checking && now >= pending.sent + patience {
+        if !pending.checking && now >= pending.sent + timeout_ms {
             pending.checking = true;
         }
-        let asked = self.read_since.is_some_and(|since| now < since + patience);
-        if pending.checking && !asked && now >= self.next_ask {
-            self.ask_row(now);
+        let reading = self
+            .row_read_since
+            .is_some_and(|since| now < since + timeout_ms);
+        if pending.checking && !reading && now >= self.next_row_read {
+            self.request_row_read(now);
         }
     }
 
@@ -140,40 +149,40 @@
         match answer {
             CommitAnswer::Committed { version } => self.complete(now, version),
             CommitAnswer::Conflict | CommitAnswer::Unknown => {
-                // A conflict may be with this very write, where its first answer was lost.
+                // A conflict may be caused by this same write, where it took effect and its first answer was lost.
                 pending.checking = true;
-                self.read_since = None;
+                self.row_read_since = None;
             }
         }
     }
 
     pub(crate) fn on_row(&mut self, now: Millis, read: StoredRow) {
-        let asked = self.read_since.take();
-        if let Some(asked) = asked {
-            self.lease.note_read_time(now.saturating_sub(asked));
+        let requested_at = self.row_read_since.take();
+        if let Some(requested_at) = requested_at {
+            self.lease.note_read_time(now.saturating_sub(requested_at));
         }
         let Some(pending) = &mut self.pending else {
             if self.lease.note_read(now, read) {
-                self.lose();
+                self.lose_shard();
             }
             return;
         };
         if read.row.token == pending.request.row.token {
             self.complete(now, read.version);
         } else if read.version == pending.request.expect {
-            // Only a read that was asked for after the write was sent can tell that it has not arrived.
-            let tells = asked.is_some_and(|asked| asked >= pending.sent);
-            if pending.checking && tells {
-                // The same conditional write may be sent again: at most one of the two can take effect.
+            // Only a read that was requested after the write was sent can show that the write has not taken effect.
+            let conclusive = requested_at.is_some_and(|requested_at| requested_at >= pending.sent);
+            if pending.checking && conclusive {
+                // The same conditional write can be retried: at most one of the two can take effect.
                 pending.checking = false;
                 pending.sent = now;
                 let request = pending.request.clone();
                 self.counts.commits += 1;
                 self.actions.push(ShardAction::Commit(request));
             }
-        } else if asked.is_some() && read.version > pending.request.expect {
+        } else if requested_at.is_some() && read.version > pending.request.expect {
             let held = *self.lease.stage() != LeaseStage::Claiming;
-            self.lease.fall_back();
+            self.lease.return_to_watching();
             self.lease.note_read(now, read);
             self.forget_ownership();
             if held {
@@ -182,16 +191,13 @@
         }
     }
 
-    fn lose(&mut self) {
+    fn lose_shard(&mut self) {
         self.forget_ownership();
         self.note(ShardNote::Lost);
     }
 
     fn complete(&mut self, now: Millis, version: RowVersion) {
-        let pending = self
-            .pending
-            .take()
-            .expect("a completed write was under way");
+        let pending = self.pending.take().expect("a completed write was pending");
         let request = pending.request;
         let claimed = *self.lease.stage() == LeaseStage::Claiming;
         let released = request.row.owner.is_none();
@@ -206,8 +212,8 @@
             self.note(ShardNote::Released);
             return;
         }
-        if request.records.iter().any(takes_from_inbox) {
-            self.inbox_valid = self.inbox_ask + 1;
+        if request.records.iter().any(removes_inbox_entry) {
+            self.first_valid_inbox_read = self.inbox_read_number + 1;
         }
         for record in &request.records {
             self.apply_committed(now, record);
@@ -218,10 +224,10 @@
     fn apply_committed(&mut self, now: Millis, record: &JournalRecord) {
         let placed_before = self.placed_before(record);
         if let JournalRecord::JobAdded { job, .. } = record {
-            // A job that is declared anew may wait in another list from now on.
+            // The new declaration of a job may assign its tasks to another list of waiting tasks.
             self.unqueue_job(&job.name);
         }
-        let effect = self.book.apply(record);
+        let effect = self.state.apply(record);
         match record {
             JournalRecord::Placed { attempt, worker } => match effect {
                 RecordEffect::Applied => self.after_placed(now, attempt, worker),
@@ -262,7 +268,7 @@
             JournalRecord::Revised { .. } | JournalRecord::JobDropped { .. } => {}
         }
         for (worker, attempt) in placed_before {
-            self.stop_if_moved_on(&worker, &attempt);
+            self.stop_if_superseded(&worker, &attempt);
         }
     }
 
@@ -274,25 +280,25 @@
         self.note(ShardNote::Placed(attempt.clone(), worker.clone(), waited));
         let order = self.start_order(attempt);
         let Some(order) = order else { return };
-        let spec = self.book.spec(&attempt.task.job);
+        let spec = self.state.spec(&attempt.task.job);
         let run_ms = spec.map_or(order.run_ms, |spec| {
             self.families.run_time(&spec.family, spec.run_ms)
         });
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.expect_end(attempt, now + run_ms);
-            contact.push_start(order);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.expect_end(attempt, now + run_ms);
+            session.push_start(order);
         }
     }
 
     fn start_order(&self, attempt: &AttemptId) -> Option<StartOrder> {
-        let spec = self.book.spec(&attempt.task.job)?;
-        let cell = self.book.cell(&attempt.task)?;
+        let spec = self.state.spec(&attempt.task.job)?;
+        let task_state = self.state.task_state(&attempt.task)?;
         let size = self.held.get(attempt).map_or(spec.size, |held| held.size);
         Some(StartOrder {
             attempt: attempt.clone(),
             size,
             program: spec.program.clone(),
-            checkpoint: cell.checkpoint.clone(),
+            checkpoint: task_state.checkpoint.clone(),
             checkpointable: spec.checkpoint,
             run_ms: spec.run_ms,
         })
@@ -300,14 +306,14 @@
 
     fn snapshot_if_due(&mut self, records: u64, sequence: Sequence) {
         self.snapshot.records += records;
-        let busy = self.snapshot.under_way.is_some() || self.snapshot.stored.is_some();
+        let busy = self.snapshot.in_progress.is_some() || self.snapshot.stored.is_some();
         if busy || self.snapshot.records < self.times.records_per_snapshot {
             return;
         }
-        let bytes = encode_snapshot(&self.book);
+        let bytes = encode_snapshot(&self.state);
         let digest = content_digest(&bytes);
         self.snapshot.records = 0;
-        self.snapshot.under_way = Some((digest.clone(), sequence));
+        self.snapshot.in_progress = Some((digest.clone(), sequence));
         self.actions.push(ShardAction::StoreSnapshot {
             digest,
             bytes: Arc::new(bytes),
@@ -323,43 +329,43 @@
         if *self.lease.stage() != LeaseStage::Recovering {
             return;
         }
-        let Ok(book) = decode_snapshot(snapshot, groups) else {
+        let Ok(state) = decode_snapshot(snapshot, groups) else {
             return;
         };
-        self.adopt_book(now, book);
+        self.adopt_state(now, state);
         self.lease.note_recovered();
-        let placed = self.book.placed_count();
+        let placed = self.state.placed_count();
         self.note(ShardNote::Recovered { placed });
     }
 
-    fn adopt_book(&mut self, now: Millis, book: TaskBook) {
-        self.book = book;
+    fn adopt_state(&mut self, now: Millis, state: ShardState) {
+        self.state = state;
         let entries: Vec<_> = self.listed.values().cloned().collect();
         for entry in entries {
             self.add_worker(&entry);
         }
-        let workers: Vec<_> = self.book.placed_workers().cloned().collect();
+        let workers: Vec<_> = self.state.placed_workers().cloned().collect();
         for worker in workers {
-            self.add_contact(&worker);
-            let attempts: Vec<_> = self.book.placed_on(&worker).cloned().collect();
+            self.add_session(&worker);
+            let attempts: Vec<_> = self.state.placed_on(&worker).cloned().collect();
             for attempt in attempts {
                 self.hold_recovered(&worker, &attempt);
             }
         }
-        let jobs: Vec<_> = self.book.jobs.keys().cloned().collect();
+        let jobs: Vec<_> = self.state.jobs.keys().cloned().collect();
         for job in jobs {
             self.enqueue_job(now, &job);
         }
     }
 
     pub(crate) fn enqueue_job(&mut self, now: Millis, job: &JobId) {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return;
         };
-        let waiting: Vec<u32> = book
+        let waiting: Vec<u32> = job_state
             .tasks
             .iter()
-            .filter(|(_, cell)| cell.stage == TaskStage::Waiting)
+            .filter(|(_, task_state)| task_state.stage == TaskStage::Waiting)
             .map(|(index, _)| *index)
             .collect();
         for index in waiting {
@@ -371,16 +377,17 @@
         }
     }
 
-    /// For how long workers that this owner could not reach may still run what it or an earlier one renewed.
-    fn remaining_silence(&self, now: Millis) -> Millis {
+    /// For how many milliseconds from `now` unreachable workers may still run tasks
+    /// that this or an earlier owner renewed.
+    fn remaining_silence_ms(&self, now: Millis) -> Millis {
         let own = self.times.task_lease_ms + self.times.drift_ms;
-        let unreached = self.contacts.values().filter(|contact| !contact.fenced);
+        let unreached = self.sessions.values().filter(|session| !session.fenced);
         unreached
-            .map(|contact| contact.silent_until.saturating_sub(now))
+            .map(|session| session.silent_until.saturating_sub(now))
             .fold(own, Millis::max)
     }
 
-    /// Releases the shard; comes before renewals, or those would put it off for ever where the store is slow.
+    /// Releases the shard. A release takes precedence over renewals, which would defer it forever on a slow store.
     fn release(&mut self, now: Millis) {
         if *self.lease.stage() != LeaseStage::Holding {
             return;
@@ -388,13 +395,13 @@
         let token = self.next_token();
         let (expect, mut row) = self.lease.next_row(token);
         row.owner = None;
-        row.silence_ms = self.remaining_silence(now);
+        row.silence_ms = self.remaining_silence_ms(now);
         self.send_commit(now, expect, row, Vec::new());
     }
 }
 
-/// Whether a record takes an entry out of the inbox.
-fn takes_from_inbox(record: &JournalRecord) -> bool {
+/// Whether a record's transaction removes an entry from the inbox.
+fn removes_inbox_entry(record: &JournalRecord) -> bool {
     matches!(
         record,
         JournalRecord::Adopted { .. } | JournalRecord::InboxDropped { .. }
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -1,21 +1,21 @@
-//! Deals with what workers answer, and with workers that no longer do.
+//! Handles worker reports, and reclaims tasks from workers whose leases have expired.
 
 use std::collections::BTreeSet;
 
 use sandshelf_model::{AttemptId, Epoch, Millis, WorkerId};
 
-use crate::book::{RecordEffect, RequeueCause, TaskStage};
 use crate::events::ShardNote;
 use crate::journal::JournalRecord;
 use crate::orders::{AttemptPhase, AttemptReport, OrderRefusal, WorkerReport};
 use crate::owner::ShardOwner;
 use crate::placing::tenant_of;
+use crate::state::{RecordEffect, RequeueCause, TaskStage};
 
-/// A task that failed by itself so often is given up.
-const MOST_FAILURES: u32 = 3;
+/// A task is given up after this number of failed attempts; failures that quarantine the worker don't count.
+const MAX_TASK_FAILURES: u32 = 3;
 
 impl ShardOwner {
-    pub(crate) fn on_worker(
+    pub(crate) fn on_worker_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -25,36 +25,36 @@
     ) {
         let own_epoch = self.epoch();
         let times = self.times;
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        if epoch != own_epoch || !contact.awaits(number) {
+        if epoch != own_epoch || !session.awaits(number) {
             return;
         }
         let Some(report) = report else {
-            contact.note_lost(now, &times);
+            session.note_failed(now, &times);
             return;
         };
         match report.refusal {
             Some(OrderRefusal::Outdated) => {
-                // A newer owner has been there: learn who it is before anything else.
-                contact.note_lost(now, &times);
+                // A newer owner may have sent orders to the worker: read the row first to find out who owns the shard.
+                session.note_failed(now, &times);
                 if self.pending.is_none() {
-                    self.ask_row(now);
+                    self.request_row_read(now);
                 }
             }
-            Some(OrderRefusal::StampExpired) => contact.note_expired(now, report.stamp),
+            Some(OrderRefusal::StampExpired) => session.note_stamp_expired(now, report.stamp),
             None => {
-                contact.note_accepted(now, report.stamp, &times);
-                self.take_report(now, worker, &report);
+                session.note_accepted(now, report.stamp, &times);
+                self.apply_report(now, worker, &report);
             }
         }
     }
 
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, report: &WorkerReport) {
-        self.take_capacity(worker, report);
+    fn apply_report(&mut self, now: Millis, worker: &WorkerId, report: &WorkerReport) {
+        self.apply_capacity(worker, report);
         for attempt in &report.attempts {
-            self.take_attempt(now, worker, attempt);
+            self.handle_attempt(now, worker, attempt);
         }
         if self.pool.is_overcommitted(worker) {
             self.shed_load(worker);
@@ -63,15 +63,15 @@
             self.requeue_missing(worker, report);
             self.release_missing(worker, report);
         }
-        self.open_if_sound(worker);
+        self.open_if_usable(worker);
     }
 
-    fn take_capacity(&mut self, worker: &WorkerId, report: &WorkerReport) {
+    fn apply_capacity(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let Some(entry) = self.pool.entry(worker) else {
             return;
         };
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.reported = Some(report.capacity);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.reported_capacity = Some(report.capacity);
         }
         if entry.capacity != report.capacity {
             let mut entry = entry.clone();
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Evicts the newest attempts from a worker on which more is used than it has: it became smaller, or they grew.
+    /// Evicts the newest attempts from a worker whose reservations exceed its capacity, because the worker's capacity
+    /// shrank or the attempts' usage grew.
     fn shed_load(&mut self, worker: &WorkerId) {
         let Some(entry) = self.pool.entry(worker) else {
             return;
@@ -88,36 +89,36 @@
         let services = entry.services.iter().map(|(_, size)| size);
         let mut room = services.fold(entry.capacity, |room, size| room.saturating_minus(size));
         let tenants = self.pool.reservations(worker).to_vec();
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
         for tenant in &tenants {
-            if let Ok(left) = room.minus(&tenant.size) {
-                room = left;
-            } else if !contact.evicting.contains(&tenant.attempt) {
-                contact.push_checkpoint(&tenant.attempt);
+            if let Ok(remaining) = room.minus(&tenant.size) {
+                room = remaining;
+            } else if !session.evicting.contains(&tenant.attempt) {
+                session.push_checkpoint(&tenant.attempt);
             }
         }
     }
 
-    fn open_if_sound(&mut self, worker: &WorkerId) {
-        let Some(contact) = self.contacts.get(worker) else {
+    fn open_if_usable(&mut self, worker: &WorkerId) {
+        let Some(session) = self.sessions.get(worker) else {
             return;
         };
-        let open = contact.fenced && !contact.leaving && !contact.gone;
+        let open = session.fenced && !session.leaving && !session.gone;
         let open = open && !self.pool.is_overcommitted(worker);
         self.pool.set_open(worker, open);
     }
 
-    fn take_attempt(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
+    fn handle_attempt(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        let current = self.book.current_worker(attempt) == Some(worker);
+        let current = self.state.current_worker(attempt) == Some(worker);
         match &report.phase {
             AttemptPhase::Running if current => self.note_running(now, worker, report),
-            AttemptPhase::Running => self.stop_stray(worker, report),
-            _ if !current => self.end_stray(worker, report),
+            AttemptPhase::Running => self.stop_superseded(worker, report),
+            _ if !current => self.acknowledge_superseded(worker, report),
             AttemptPhase::Finished(output) => {
-                self.finish(worker, report, output);
+                self.finish_attempt(worker, report, output);
             }
             AttemptPhase::Failed => self.fail_attempt(now, worker, attempt),
             AttemptPhase::Checkpointed(key) => {
@@ -129,7 +130,7 @@
     }
 
     fn note_running(&mut self, now: Millis, worker: &WorkerId, report: &AttemptReport) {
-        let Some(spec) = self.book.spec(&report.attempt.task.job).cloned() else {
+        let Some(spec) = self.state.spec(&report.attempt.task.job).cloned() else {
             return;
         };
         self.families.note_usage(&spec.family, &report.usage);
@@ -138,18 +139,18 @@
         let mut tenant = tenant_of(&report.attempt, &spec, size);
         tenant.progress_percent = (report.ran_ms * 100 / expected).min(100) as u32;
         self.pool.record(worker, tenant);
-        self.hold_room(&report.attempt, worker, &spec, size);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.confirmed.insert(report.attempt.clone());
-            let left = expected.saturating_sub(report.ran_ms);
-            contact.expect_end(&report.attempt, now + left);
+        self.hold_capacity(&report.attempt, worker, &spec, size);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.confirmed.insert(report.attempt.clone());
+            let remaining_ms = expected.saturating_sub(report.ran_ms);
+            session.expect_end(&report.attempt, now + remaining_ms);
         }
     }
 
-    /// Stops an attempt that is not its task's newest; its room stays held until it has ended.
-    fn stop_stray(&mut self, worker: &WorkerId, report: &AttemptReport) {
+    /// Stops an attempt that is not its task's newest; its capacity stays reserved until it has ended.
+    fn stop_superseded(&mut self, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        if self.starts_soon(worker, attempt) {
+        if self.is_start_pending(worker, attempt) {
             return;
         }
         let known = self
@@ -170,36 +171,40 @@
                 },
             );
         }
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_stop(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_stop(attempt);
         }
     }
 
-    fn starts_soon(&self, worker: &WorkerId, attempt: &AttemptId) -> bool {
-        let contact = self.contacts.get(worker);
-        contact.is_some_and(|contact| contact.is_starting(attempt))
+    fn is_start_pending(&self, worker: &WorkerId, attempt: &AttemptId) -> bool {
+        let session = self.sessions.get(worker);
+        session.is_some_and(|session| session.is_starting(attempt))
     }
 
-    /// Lets the worker forget the end of an attempt that no longer counts.
-    fn end_stray(&mut self, worker: &WorkerId, report: &AttemptReport) {
+    /// Acknowledges the end of an attempt that no longer counts, so that the worker may forget it.
+    fn acknowledge_superseded(&mut self, worker: &WorkerId, report: &AttemptReport) {
         let attempt = &report.attempt;
-        let counted = self.book.cell(&attempt.task).is_some_and(|cell| {
-            cell.attempts == attempt.number && matches!(cell.stage, TaskStage::Finished(_))
-        });
+        let counted = self
+            .state
+            .task_state(&attempt.task)
+            .is_some_and(|task_state| {
+                task_state.attempts == attempt.number
+                    && matches!(task_state.stage, TaskStage::Finished(_))
+            });
         let late = matches!(report.phase, AttemptPhase::Finished(_)) && !counted;
         if late && !self.ending.contains(attempt) {
-            self.book.stats.late_finishes += 1;
+            self.state.stats.late_finishes += 1;
         }
         self.drop_hold(attempt);
         self.pool.release(worker, attempt);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_acknowledgement(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_acknowledgement(attempt);
         }
     }
 
-    fn finish(&mut self, worker: &WorkerId, report: &AttemptReport, output: &str) {
+    fn finish_attempt(&mut self, worker: &WorkerId, report: &AttemptReport, output: &str) {
         let attempt = &report.attempt;
-        if self.book.is_watch(&attempt.task.job) {
+        if self.state.is_watch(&attempt.task.job) {
             self.requeue(attempt, RequeueCause::WatchEnded, None);
             return;
         }
@@ -207,7 +212,7 @@
             return;
         }
         self.pool.quarantine.note_success(worker);
-        if let Some(spec) = self.book.spec(&attempt.task.job) {
+        if let Some(spec) = self.state.spec(&attempt.task.job) {
             self.families.note_finish(&spec.family, report.ran_ms);
         }
         self.buffer.push(JournalRecord::Finished {
@@ -221,22 +226,26 @@
             return;
         }
         let task = &attempt.task;
-        let closed = self.pool.quarantine.note_failure(worker, &task.job, now);
-        if closed {
+        let quarantined = self.pool.quarantine.note_failure(worker, &task.job, now);
+        if quarantined {
             self.note(ShardNote::Quarantined(worker.clone()));
         }
         let repeatable = self
-            .book
+            .state
             .spec(&task.job)
             .is_some_and(|spec| spec.repeatable);
-        let failures = self.book.cell(task).map_or(0, |cell| cell.failures) + 1;
+        let failures = self
+            .state
+            .task_state(task)
+            .map_or(0, |task_state| task_state.failures)
+            + 1;
         if !repeatable {
             self.give_up(attempt, "it failed and may not be run again");
-        } else if failures >= MOST_FAILURES && !closed {
+        } else if failures >= MAX_TASK_FAILURES && !quarantined {
             self.give_up(attempt, "it failed on three workers");
         } else {
             self.avoid.insert(task.clone(), worker.clone());
-            let cause = if closed {
+            let cause = if quarantined {
                 RequeueCause::WorkerLost
             } else {
                 RequeueCause::Failed
@@ -246,7 +255,7 @@
     }
 
     fn give_up(&mut self, attempt: &AttemptId, reason: &str) {
-        if self.begin_end(attempt) {
+        if self.begin_ending(attempt) {
             self.buffer.push(JournalRecord::Failed {
                 task: attempt.task.clone(),
                 reason: reason.to_owned(),
@@ -255,9 +264,9 @@
     }
 
     fn requeue_stopped(&mut self, worker: &WorkerId, attempt: &AttemptId) {
-        let contact = self.contacts.get(worker);
-        let evicted = contact.is_some_and(|contact| contact.evicting.contains(attempt));
-        let spec = self.book.spec(&attempt.task.job);
+        let session = self.sessions.get(worker);
+        let evicted = session.is_some_and(|session| session.evicting.contains(attempt));
+        let spec = self.state.spec(&attempt.task.job);
         let repeatable = spec.is_some_and(|spec| spec.repeatable || spec.checkpoint);
         if !repeatable {
             self.give_up(attempt, "it was cut off and may not be run again");
@@ -274,7 +283,7 @@
         cause: RequeueCause,
         checkpoint: Option<String>,
     ) {
-        if self.begin_end(attempt) {
+        if self.begin_ending(attempt) {
             self.buffer.push(JournalRecord::Requeued {
                 attempt: attempt.clone(),
                 cause,
@@ -283,34 +292,35 @@
         }
     }
 
-    /// Notes that an attempt's end is about to be recorded; from here on it must not be started any more.
+    /// Marks an attempt's end as being recorded and withdraws its unconfirmed start, so that it isn't started any more.
     ///
-    /// Returns false where its end is being recorded already.
-    fn begin_end(&mut self, attempt: &AttemptId) -> bool {
+    /// Returns false where its end is already being recorded.
+    fn begin_ending(&mut self, attempt: &AttemptId) -> bool {
         if !self.ending.insert(attempt.clone()) {
             return false;
         }
-        let worker = self.book.current_worker(attempt);
-        if let Some(contact) = worker.and_then(|worker| self.contacts.get_mut(worker)) {
-            contact.drop_start(attempt);
+        let worker = self.state.current_worker(attempt);
+        if let Some(session) = worker.and_then(|worker| self.sessions.get_mut(worker)) {
+            session.drop_start(attempt);
         }
         true
     }
 
-    /// Requeues what was recorded for a worker but never arrived there, and now never can.
+    /// Requeues attempts that are placed on a worker but missing from its inventory,
+    /// unless their start is still to be sent.
     fn requeue_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let listed: BTreeSet<&AttemptId> =
             report.attempts.iter().map(|entry| &entry.attempt).collect();
         let missing: Vec<AttemptId> = self
-            .book
+            .state
             .placed_on(worker)
             .filter(|attempt| !listed.contains(attempt))
-            .filter(|attempt| !self.starts_soon(worker, attempt))
+            .filter(|attempt| !self.is_start_pending(worker, attempt))
             .cloned()
             .collect();
         for attempt in missing {
-            let contact = self.contacts.get(worker);
-            let ran = contact.is_some_and(|contact| contact.confirmed.contains(&attempt));
+            let session = self.sessions.get(worker);
+            let ran = session.is_some_and(|session| session.confirmed.contains(&attempt));
             if ran {
                 self.requeue_stopped(worker, &attempt);
             } else {
@@ -319,7 +329,8 @@
         }
     }
 
-    /// Gives back the room of attempts that the worker no longer has and no record waits for.
+    /// Releases the capacity of attempts that are missing from the worker's inventory
+    /// and for which no record is pending.
     fn release_missing(&mut self, worker: &WorkerId, report: &WorkerReport) {
         let stale: Vec<AttemptId> = self
             .pool
@@ -333,8 +344,8 @@
                     .any(|entry| &entry.attempt == *attempt)
             })
             .filter(|attempt| !self.placing.contains(&attempt.task))
-            .filter(|attempt| self.book.current_worker(attempt).is_none())
-            .filter(|attempt| !self.starts_soon(worker, attempt))
+            .filter(|attempt| self.state.current_worker(attempt).is_none())
+            .filter(|attempt| !self.is_start_pending(worker, attempt))
             .cloned()
             .collect();
         for attempt in stale {
@@ -343,24 +354,24 @@
         }
     }
 
-    /// Takes tasks back from workers on which no lease can be running any more.
-    pub(crate) fn retire_lapsed(&mut self, now: Millis) {
-        let lapsed: Vec<(WorkerId, bool)> = self
-            .contacts
+    /// Reclaims tasks from workers on which no task lease can still be running.
+    pub(crate) fn reclaim_expired(&mut self, now: Millis) {
+        let expired: Vec<(WorkerId, bool)> = self
+            .sessions
             .iter()
-            .filter(|(_, contact)| contact.is_lapsed(now))
-            .map(|(worker, contact)| (worker.clone(), contact.gone))
+            .filter(|(_, session)| session.leases_expired(now))
+            .map(|(worker, session)| (worker.clone(), session.gone))
             .collect();
-        for (worker, gone) in lapsed {
-            self.retire_worker(&worker, gone);
+        for (worker, gone) in expired {
+            self.reclaim_worker(&worker, gone);
         }
     }
 
-    fn retire_worker(&mut self, worker: &WorkerId, gone: bool) {
+    fn reclaim_worker(&mut self, worker: &WorkerId, gone: bool) {
         self.pool.set_open(worker, false);
-        let attempts: Vec<AttemptId> = self.book.placed_on(worker).cloned().collect();
+        let attempts: Vec<AttemptId> = self.state.placed_on(worker).cloned().collect();
         for attempt in attempts {
-            let spec = self.book.spec(&attempt.task.job);
+            let spec = self.state.spec(&attempt.task.job);
             let repeatable = spec.is_some_and(|spec| spec.repeatable);
             if repeatable {
                 self.requeue(&attempt, RequeueCause::WorkerLost, None);
@@ -368,18 +379,18 @@
                 self.give_up(&attempt, "its worker is gone; it may have run");
             }
         }
-        let nothing_left = gone && self.book.placed_on(worker).next().is_none();
-        if nothing_left && self.ending.is_empty() && !self.is_placing_on(worker) {
+        let nothing_left = gone && self.state.placed_on(worker).next().is_none();
+        if nothing_left && self.ending.is_empty() && !self.has_unrecorded_placement(worker) {
             for attempt in self.pool.remove(worker) {
                 self.drop_hold(&attempt);
             }
-            self.contacts.remove(worker);
+            self.sessions.remove(worker);
             self.gauge.forget(worker);
         }
     }
 
-    /// Whether a placement on this worker waits to be recorded.
-    fn is_placing_on(&self, worker: &WorkerId) -> bool {
+    /// Whether a placement on this worker is still to be committed.
+    fn has_unrecorded_placement(&self, worker: &WorkerId) -> bool {
         let mut tenants = self.pool.reservations(worker).iter();
         tenants.any(|tenant| self.placing.contains(&tenant.attempt.task))
     }
@@ -400,14 +411,14 @@
         }
     }
 
-    /// Lets the worker forget an attempt whose end is now durable, and gives its room back.
+    /// Acknowledges an attempt whose end is now durable to its worker, and releases its capacity and quota.
     pub(crate) fn after_ended(&mut self, attempt: &AttemptId) {
         self.ending.remove(attempt);
         let Some(worker) = self.drop_hold(attempt) else {
             return;
         };
-        if let Some(contact) = self.contacts.get_mut(&worker) {
-            contact.push_acknowledgement(attempt);
+        if let Some(session) = self.sessions.get_mut(&worker) {
+            session.push_acknowledgement(attempt);
         }
     }
 }
--- a/crates/lease/tests/support/world/mod.rs
+++ b/crates/lease/tests/support/world/mod.rs
@@ -40,9 +40,9 @@
     task_lease_ms: 3_000,
     renewal_grace_ms: 8_000,
     drift_ms: 120,
-    answer_ms: 400,
-    order_every_ms: 700,
-    commit_every_ms: 40,
+    answer_timeout_ms: 400,
+    order_interval_ms: 700,
+    commit_interval_ms: 40,
     records_per_snapshot: 12,
     stagger_ms: 300,
 };
@@ -166,7 +166,7 @@
             let seed = self.seed ^ u64::from(number) << 8 ^ index as u64;
             let mut owner = ShardOwner::new(shard.clone(), host.clone(), self.times, seed);
             let rank = (number as usize + index) % 3;
-            owner.handle(0, ShardEvent::Ranked(Some(rank as u32)));
+            owner.handle(0, ShardEvent::RankUpdated(Some(rank as u32)));
             owners.insert(shard.clone(), owner);
         }
         let drift = self.source.random_range(-MOST_DRIFT..=MOST_DRIFT);
@@ -274,7 +274,7 @@
     pub fn rank_by_order(&mut self) {
         for (rank, host) in self.host_ids().iter().enumerate() {
             for shard in self.shard_ids() {
-                self.feed(host, &shard, ShardEvent::Ranked(Some(rank as u32)));
+                self.feed(host, &shard, ShardEvent::RankUpdated(Some(rank as u32)));
             }
         }
     }
@@ -335,7 +335,7 @@
             .get_mut(shard)
             .expect("every host has every shard");
         let actions = owner.handle(local, event);
-        if let Err(problem) = owner.verify_whole() {
+        if let Err(problem) = owner.verify_all() {
             panic!(
                 "seed {} at {}: {host} {shard}: {problem}",
                 self.seed, self.now
@@ -344,7 +344,7 @@
         for action in actions {
             if let ShardAction::Note(note) = action {
                 assert!(
-                    !matches!(note, ShardNote::Broken(_)),
+                    !matches!(note, ShardNote::InvariantBroken(_)),
                     "seed {} at {}: {host} {shard}: {note:?}",
                     self.seed,
                     self.now
