--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -7,7 +7,7 @@
 
 use sandshelf_jobs::{
     EndReport, HoldAnswer, HoldCall, HoldReport, JobEvent, OrderAnswer, RefusalReason, RunKey,
-    RunOutcome, RunReport, StartCall, TaskKey, WorkerCall, WorkerLife,
+    RunOutcome, RunReport, StartCall, TaskKey, WorkerCall, WorkerIncarnation,
 };
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerBirth {
     /// Which life it is.
-    pub life: WorkerLife,
+    pub life: WorkerIncarnation,
     /// When it began.
     pub at: Micros,
     /// What its clock shows then.
@@ -377,7 +377,7 @@
             }
         });
         let report = HoldReport {
-            life: Some(self.birth.life),
+            incarnation: Some(self.birth.life),
             carrier_late_ms: 0,
             clock: self.clock(now),
             running: running.collect(),
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use sandshelf_jobs::{HoldAnswer, JobEvent, WorkerCall, WorkerLife, WorkerListing};
+use sandshelf_jobs::{HoldAnswer, JobEvent, WorkerCall, WorkerIncarnation, WorkerListing};
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
 use super::{EmulatedWorld, Happening, HostLife};
@@ -98,13 +98,13 @@
         let id = WorkerId::from(format!("i-{:08x}", self.incarnations));
         let rack = format!("r1-{}", place / self.rack);
         let birth = WorkerBirth {
-            life: WorkerLife(FIRST_LIFE_MS + self.incarnations as u64),
+            life: WorkerIncarnation(FIRST_LIFE_MS + self.incarnations as u64),
             at: 0,
             clock: 0,
             clock_percent: random.random_range(98..=100),
         };
         let entry = WorkerListing {
-            life: Some(birth.life),
+            incarnation: Some(birth.life),
             worker: id.clone(),
             service: "desk".to_owned(),
             address: address_of(place),
@@ -306,7 +306,7 @@
     pub(super) fn restart_worker(&mut self, place: usize) {
         self.fleet.incarnations += 1;
         let birth = WorkerBirth {
-            life: WorkerLife(FIRST_LIFE_MS + self.fleet.incarnations as u64),
+            life: WorkerIncarnation(FIRST_LIFE_MS + self.fleet.incarnations as u64),
             at: self.now,
             clock: self.random.random_range(0..MOST_CLOCK_MS),
             clock_percent: self.random.random_range(98..=100),
@@ -317,7 +317,7 @@
         }
         let id = at.entry.worker.clone();
         at.worker = Some(EmulatedWorker::new(id, birth, at.entry.capacity));
-        at.entry.life = Some(birth.life);
+        at.entry.incarnation = Some(birth.life);
         at.entry.draining = false;
         at.listed_until = Micros::MAX;
     }
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -110,7 +110,7 @@
         let fresh = fresh.filter(|(_, worker)| worker.life.has_unwritten());
         let ends = fresh.map(|(id, worker)| NotedEnds {
             worker: id.clone(),
-            life: worker.life.name,
+            incarnation: worker.life.name,
             newest: worker.life.noted,
         });
         ends.collect()
@@ -154,7 +154,7 @@
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
             // Numbers of a life that is over say nothing of the one that has begun since.
-            let Some(state) = state.filter(|state| state.life.name == ends.life) else {
+            let Some(state) = state.filter(|state| state.life.name == ends.incarnation) else {
                 continue;
             };
             state.life.durable = state.life.durable.max(ends.newest);
--- a/crates/jobs/src/crash/book.rs
+++ b/crates/jobs/src/crash/book.rs
@@ -6,13 +6,13 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use super::CrashNote;
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
 use crate::limits::{HERD_MS, SOUND_AGAIN_MS, UNEXPLAINED_KEPT_MS};
 
 /// A life of a worker that is taken as crashed.
 #[derive(Clone, Debug)]
 pub(super) struct BlamedLife {
-    pub(super) life: Option<WorkerLife>,
+    pub(super) life: Option<WorkerIncarnation>,
     /// The runs that this was noted with.
     pub(super) runs: Vec<RunKey>,
 }
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/noted.rs
@@ -5,7 +5,7 @@
 use super::book::{AwaitedCrash, BlamedLife};
 use super::record::StartPlace;
 use super::{CrashNote, StartCaution};
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
 use crate::job::TaskStage;
 use crate::life::are_others;
 use crate::limits::{
@@ -173,7 +173,7 @@
 
     /// A worker that was taken as crashed answers: where it is the same life it was cut off, and what was noted with its runs says
     /// nothing. One that has started again has crashed.
-    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, life: Option<WorkerLife>) {
+    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, life: Option<WorkerIncarnation>) {
         let Some(blamed) = self.crashes.blamed.remove(worker) else {
             return;
         };
@@ -247,7 +247,7 @@
         let stands = |state: &WorkerState| {
             let life = match state.life.fenced {
                 true => state.life.name,
-                false => state.entry.life,
+                false => state.entry.incarnation,
             };
             (state.life.fenced || state.listed) && !are_others(place.life, life)
         };
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -3,7 +3,7 @@
 use sandshelf_model::{Millis, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{RunKey, WorkerLife};
+use crate::ids::{RunKey, WorkerIncarnation};
 use crate::limits::{
     ALONE_FROM_CRASHES, CERTAIN_CRASHES, CONVICTING_CRASHES, CONVICTING_SLOW_CRASHES,
     PROVEN_AFTER_MS, UNHEARD_AT_MOST_MS,
@@ -51,7 +51,7 @@
     started: Option<(WorkerId, u64)>,
     /// In which of the worker's lives.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    started_in: Option<WorkerLife>,
+    started_in: Option<WorkerIncarnation>,
 }
 
 /// Where a task was started.
@@ -59,7 +59,7 @@
 pub(super) struct StartPlace {
     pub(super) worker: WorkerId,
     /// In which of the worker's lives.
-    pub(super) life: Option<WorkerLife>,
+    pub(super) life: Option<WorkerIncarnation>,
 }
 
 /// With how much caution a task is started.
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -132,11 +132,11 @@
             state.life.granted = state.life.granted.max(inherited);
         }
         let noted = state.life.noted;
-        self.withdraw_crash(worker, report.life);
+        self.withdraw_crash(worker, report.incarnation);
         if first {
             self.note(JobNote::Fenced {
                 worker: worker.clone(),
-                life: report.life,
+                incarnation: report.incarnation,
             });
         }
         let mut ended = BTreeSet::new();
--- a/crates/jobs/src/ids.rs
+++ b/crates/jobs/src/ids.rs
@@ -104,9 +104,9 @@
 /// milliseconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct WorkerLife(pub u64);
+pub struct WorkerIncarnation(pub u64);
 
-impl fmt::Display for WorkerLife {
+impl fmt::Display for WorkerIncarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.0)
     }
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
 use crate::foreign::ForeignSight;
-use crate::ids::{JobNumber, RunKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, WorkerIncarnation};
 use crate::job::{objective_ms, JobState, TaskStage};
 use crate::life::LifeState;
 use crate::limits::{LIST_GAP_MS, RELIST_MS};
@@ -164,11 +164,11 @@
         now: Millis,
         worker: WorkerId,
         address: SocketAddr,
-        life: Option<WorkerLife>,
+        incarnation: Option<WorkerIncarnation>,
     ) {
         let entry = WorkerListing {
             worker: worker.clone(),
-            life: None,
+            incarnation: None,
             service: String::new(),
             address,
             hall: HallId::from(""),
@@ -179,7 +179,7 @@
         };
         let mark = self.marks.of(&worker);
         let mut state = WorkerState::new(entry, now, mark);
-        state.life = LifeState::new(life);
+        state.life = LifeState::new(incarnation);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
         self.hold_at(&worker, now);
@@ -260,7 +260,7 @@
         state.evacuated = self.evacuated.contains(&entry.hall);
         let leaves_now = draining && !state.entry.draining;
         state.entry = entry;
-        if state.is_unshown() && state.entry.life > state.life.name {
+        if state.is_unshown() && state.entry.incarnation > state.life.name {
             // It has started again, and no hold has told so yet.
             state.unsure = true;
         }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -64,7 +64,7 @@
 pub use crash::{CrashNote, CrashRecord, CrashSuspect};
 pub use events::{CommitBatch, HoldCall, JobAction, JobEvent, StartCall, WorkerCall};
 pub use gauges::SchedulerCounts;
-pub use ids::{BadIdentifier, JobNumber, RunKey, TaskKey, WorkerLife};
+pub use ids::{BadIdentifier, JobNumber, RunKey, TaskKey, WorkerIncarnation};
 pub use limits::SchedulerLimits;
 pub use note::{JobNote, LossCause, StopCause};
 pub use press::{LearntPair, StrengthRow};
--- a/crates/jobs/src/life.rs
+++ b/crates/jobs/src/life.rs
@@ -5,7 +5,7 @@
 
 use sandshelf_model::Millis;
 
-use crate::ids::WorkerLife;
+use crate::ids::WorkerIncarnation;
 use crate::limits::SLOWEST_CLOCK_PERCENT;
 use crate::reports::WorkerClock;
 
@@ -29,7 +29,7 @@
 }
 
 /// Whether two lives of one worker are certainly not the same; where it doesn't name them they may be.
-pub(crate) fn are_others(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
+pub(crate) fn are_others(one: Option<WorkerIncarnation>, other: Option<WorkerIncarnation>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LifeState {
     /// Which one; none where the worker doesn't say it or has not answered.
-    pub(crate) name: Option<WorkerLife>,
+    pub(crate) name: Option<WorkerIncarnation>,
     /// Whether it has answered under this owner's epoch.
     pub(crate) fenced: bool,
     reading: Option<ClockReading>,
@@ -53,7 +53,7 @@
 
 impl LifeState {
     /// A life that has answered nothing yet.
-    pub(crate) fn new(name: Option<WorkerLife>) -> Self {
+    pub(crate) fn new(name: Option<WorkerIncarnation>) -> Self {
         Self {
             name,
             ..Self::default()
@@ -61,7 +61,7 @@
     }
 
     /// Whether a worker that names its life so is in another one.
-    pub(crate) fn is_other(&self, name: Option<WorkerLife>) -> bool {
+    pub(crate) fn is_other(&self, name: Option<WorkerIncarnation>) -> bool {
         are_others(self.name, name)
     }
 
--- a/crates/jobs/src/note.rs
+++ b/crates/jobs/src/note.rs
@@ -2,7 +2,7 @@
 
 use sandshelf_model::{HallId, Millis, WorkerId};
 
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
 use crate::reports::{OrderAnswer, RunOutcome, WorkerClock};
 use crate::stage::JobStage;
 
@@ -91,16 +91,16 @@
         /// The worker.
         worker: WorkerId,
         /// Which of its lives answered.
-        life: Option<WorkerLife>,
+        incarnation: Option<WorkerIncarnation>,
     },
     /// A worker has started again under its name: what it held before is lost.
-    AnotherLife {
+    WorkerRestarted {
         /// The worker.
         worker: WorkerId,
         /// The life that answered before.
-        before: Option<WorkerLife>,
+        before: Option<WorkerIncarnation>,
         /// The one that answers now.
-        life: Option<WorkerLife>,
+        incarnation: Option<WorkerIncarnation>,
         /// The newest reading of the clock before.
         clock_before: Option<WorkerClock>,
         /// The clock now.
--- a/crates/jobs/src/reports.rs
+++ b/crates/jobs/src/reports.rs
@@ -5,7 +5,7 @@
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{RunKey, WorkerLife};
+use crate::ids::{RunKey, WorkerIncarnation};
 
 /// A worker's own steady clock, in milliseconds.
 pub type WorkerClock = u64;
@@ -16,7 +16,7 @@
     /// The worker's incarnation.
     pub worker: WorkerId,
     /// Which of its lives under that name wrote the entry, where it says so.
-    pub life: Option<WorkerLife>,
+    pub incarnation: Option<WorkerIncarnation>,
     /// The service whose tasks it runs.
     pub service: String,
     /// Where it takes orders.
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HoldReport {
     /// Which life of the worker answers, where it says so.
-    pub life: Option<WorkerLife>,
+    pub incarnation: Option<WorkerIncarnation>,
     /// The worker's clock.
     pub clock: WorkerClock,
     /// What is at work.
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -32,10 +32,10 @@
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        if state.life.is_other(report.life) {
+        if state.life.is_other(report.incarnation) {
             self.begin_life(now, worker, asked, report);
-        } else if state.life.name.is_none() && report.life.is_some() {
-            state.life.name = report.life;
+        } else if state.life.name.is_none() && report.incarnation.is_some() {
+            state.life.name = report.incarnation;
             self.roster_changed |= self.roster.contains(worker);
         }
     }
@@ -48,10 +48,10 @@
         let Some(state) = self.workers.get(worker) else {
             return;
         };
-        self.note(JobNote::AnotherLife {
+        self.note(JobNote::WorkerRestarted {
             worker: worker.clone(),
             before: state.life.name,
-            life: report.life,
+            incarnation: report.incarnation,
             clock_before: state.life.read_clock(),
             clock: report.clock,
             noted: state.life.noted,
@@ -73,7 +73,7 @@
             // An order that was meant for the life before leases by that one's clock, at most for as long as the worker allows.
             let longest = report.clock + self.limits.max_lease_ms;
             let granted = longest.min(state.life.granted);
-            state.life = LifeState::new(report.life);
+            state.life = LifeState::new(report.incarnation);
             state.life.granted = if reached { granted } else { 0 };
             state.paused_until = now;
         }
--- a/crates/jobs/src/roster.rs
+++ b/crates/jobs/src/roster.rs
@@ -5,7 +5,7 @@
 use sandshelf_model::{Epoch, Millis, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::ids::WorkerLife;
+use crate::ids::WorkerIncarnation;
 
 /// The workers that may hold tasks, and how long what they hold is leased.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     pub workers: Vec<(WorkerId, SocketAddr)>,
     /// Which life of each of them, in their order, the owner has heard.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub lives: Vec<Option<WorkerLife>>,
+    pub lives: Vec<Option<WorkerIncarnation>>,
     /// How long the leases are at most; where it is not said, as long as the platform allows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<Millis>,
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -10,7 +10,7 @@
 use crate::events::{JobAction, JobEvent, WorkerCall};
 use crate::foreign::ForeignRuns;
 use crate::halls::EvacuatedHalls;
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
 use crate::images::ImageTable;
 use crate::job::{JobState, TaskStage};
 use crate::limits::{
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct NotedEnds {
     pub(crate) worker: WorkerId,
-    pub(crate) life: Option<WorkerLife>,
+    pub(crate) incarnation: Option<WorkerIncarnation>,
     pub(crate) newest: u64,
 }
 
@@ -224,8 +224,8 @@
             .press
             .restore(&mut scheduler.images, &info.strengths);
         let lives = info.roster.lives.into_iter().chain(std::iter::repeat(None));
-        for ((worker, address), life) in info.roster.workers.into_iter().zip(lives) {
-            scheduler.expect_worker(info.claimed_at, worker, address, life);
+        for ((worker, address), incarnation) in info.roster.workers.into_iter().zip(lives) {
+            scheduler.expect_worker(info.claimed_at, worker, address, incarnation);
         }
         if info.rules_since > 0 && info.silent.epoch >= info.rules_since {
             scheduler.take_over_marks(info.claimed_at, info.store_ms, info.silent);
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash::CrashSuspect;
-use crate::ids::WorkerLife;
+use crate::ids::WorkerIncarnation;
 use crate::scheduler::JobScheduler;
 use crate::worker::{LeaseMark, WorkerState};
 
@@ -34,7 +34,7 @@
     pub suspects: BTreeMap<WorkerId, Vec<CrashSuspect>>,
     /// In which life each of those workers had them.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub lives: BTreeMap<WorkerId, WorkerLife>,
+    pub lives: BTreeMap<WorkerId, WorkerIncarnation>,
 }
 
 /// What is known of the store's clock, from its answers.
@@ -85,7 +85,7 @@
         &mut self,
         worker: &WorkerId,
         over_at: u64,
-        life: Option<WorkerLife>,
+        life: Option<WorkerIncarnation>,
         suspects: Vec<CrashSuspect>,
     ) {
         self.fading.remove(worker);
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -217,7 +217,7 @@
 
     /// Whether its entry is of another life than the present one, which may be of another kind, have another room or be about to leave.
     pub(crate) fn is_unshown(&self) -> bool {
-        self.life.is_other(self.entry.life)
+        self.life.is_other(self.entry.incarnation)
     }
 
     /// Whether it may be given tasks, which prolongs its lease. One that answers is there, also where a list that suffered with the store omits it.
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -10,7 +10,8 @@
 
 use sandshelf_jobs::{
     EndReport, HoldAnswer, HoldReport, JobAction, JobEvent, JobNumber, JobStage, OrderAnswer,
-    RunKey, RunOutcome, RunReport, StepSpec, TakeoverInfo, WorkerCall, WorkerLife, WorkerListing,
+    RunKey, RunOutcome, RunReport, StepSpec, TakeoverInfo, WorkerCall, WorkerIncarnation,
+    WorkerListing,
 };
 use sandshelf_model::{ResourceSize, WorkerId};
 use support::{ended, job, listing, runs, step, task, SchedulerRig};
@@ -21,7 +22,7 @@
 /// A worker's report in one of its lives.
 fn told(life: u64, clock: u64, running: Vec<RunReport>, ended: Vec<EndReport>) -> HoldReport {
     HoldReport {
-        life: Some(WorkerLife(life)),
+        incarnation: Some(WorkerIncarnation(life)),
         carrier_late_ms: 0,
         clock,
         running,
@@ -217,7 +218,7 @@
 /// it gets nothing until a list shows it.
 fn an_entry_of_the_life_before_says_nothing() {
     let shown = |life, cpu| WorkerListing {
-        life: Some(WorkerLife(life)),
+        incarnation: Some(WorkerIncarnation(life)),
         capacity: ResourceSize::new(cpu, 64_000, 0),
         ..listing("w-1")
     };
--- a/crates/jobs/tests/rooms.rs
+++ b/crates/jobs/tests/rooms.rs
@@ -172,7 +172,7 @@
         OrderAnswer::Done(clock),
     ));
     let look = |clock, running| HoldReport {
-        life: None,
+        incarnation: None,
         clock,
         running,
         ended: vec![],
--- a/crates/jobs/tests/support/crashing/mod.rs
+++ b/crates/jobs/tests/support/crashing/mod.rs
@@ -6,7 +6,7 @@
 
 use sandshelf_jobs::{
     EndReport, HoldAnswer, HoldCall, JobEvent, JobNumber, JobSpec, JobStage, OrderAnswer,
-    ProgressRow, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerLife,
+    ProgressRow, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerIncarnation,
     WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{Millis, WorkerId};
@@ -88,10 +88,10 @@
 
 impl FleetWorker {
     /// Which life under its name it is; a worker that never bears one again doesn't say it.
-    fn life(&self, returns: CrashReturn) -> Option<WorkerLife> {
+    fn life(&self, returns: CrashReturn) -> Option<WorkerIncarnation> {
         match returns {
             CrashReturn::Replaced => None,
-            CrashReturn::Restarts(_) => Some(WorkerLife(self.lives as u64)),
+            CrashReturn::Restarts(_) => Some(WorkerIncarnation(self.lives as u64)),
         }
     }
 
@@ -324,7 +324,7 @@
             .filter(|worker| worker.back_at.is_none());
         let returns = self.returns;
         let entries = here.map(|worker| WorkerListing {
-            life: worker.life(returns),
+            incarnation: worker.life(returns),
             ..listing(&worker.name)
         });
         let list = entries.collect();
--- a/crates/jobs/tests/support/crashing/orders.rs
+++ b/crates/jobs/tests/support/crashing/orders.rs
@@ -33,7 +33,7 @@
                     gauge: None,
                 });
                 let report = HoldReport {
-                    life: worker.life(self.returns),
+                    incarnation: worker.life(self.returns),
                     carrier_late_ms: 0,
                     clock: worker.clock(now, self.returns),
                     running: running.collect(),
--- a/crates/jobs/tests/support/emulated_worker.rs
+++ b/crates/jobs/tests/support/emulated_worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sandshelf_jobs::{EndReport, RunOutcome, TaskKey, WorkerLife};
+use sandshelf_jobs::{EndReport, RunOutcome, TaskKey, WorkerIncarnation};
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
 /// How often a worker reports on itself.
@@ -25,7 +25,7 @@
 pub struct EmulatedWorker {
     pub id: WorkerId,
     /// Which life under that name it is.
-    pub life: WorkerLife,
+    pub life: WorkerIncarnation,
     pub place: usize,
     pub clock_percent: u64,
     /// What its clock showed when this life began, and when that was.
--- a/crates/jobs/tests/support/emulator/mod.rs
+++ b/crates/jobs/tests/support/emulator/mod.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use sandshelf_jobs::{
     CommitBatch, HoldAnswer, HoldCall, JobEvent, JobNumber, JobScheduler, JobSpec, OrderAnswer,
-    OwnerTenure, ProgressRow, SilentWorkers, TaskKey, WorkerCall, WorkerLife, WorkerRoster,
+    OwnerTenure, ProgressRow, SilentWorkers, TaskKey, WorkerCall, WorkerIncarnation, WorkerRoster,
 };
 use sandshelf_model::{Millis, WorkerId};
 
@@ -67,7 +67,7 @@
     epoch: u64,
     worker: WorkerId,
     /// The life that has taken it and carries it out late; with that life it ends.
-    held_by: Option<WorkerLife>,
+    held_by: Option<WorkerIncarnation>,
     /// A hold that waits: its arrival and the look at what runs then are two calls to one life.
     hold: Option<ParkedHold>,
     call: WorkerCall,
@@ -86,7 +86,7 @@
 struct GhostEntry {
     until: Millis,
     worker: WorkerId,
-    life: WorkerLife,
+    life: WorkerIncarnation,
     place: usize,
 }
 
@@ -118,7 +118,7 @@
     places: usize,
     messages: BTreeMap<(Millis, u64), Message>,
     /// Which life took each hold that waits.
-    parked: BTreeMap<u64, WorkerLife>,
+    parked: BTreeMap<u64, WorkerIncarnation>,
     message_count: u64,
     owners: Vec<EmulatedOwner>,
     epoch: u64,
--- a/crates/jobs/tests/support/emulator/orders.rs
+++ b/crates/jobs/tests/support/emulator/orders.rs
@@ -160,7 +160,7 @@
             gauge: None,
         });
         HoldAnswer::Report(HoldReport {
-            life: Some(worker.life),
+            incarnation: Some(worker.life),
             carrier_late_ms: 0,
             clock,
             running: running.collect(),
--- a/crates/jobs/tests/support/emulator/owners.rs
+++ b/crates/jobs/tests/support/emulator/owners.rs
@@ -136,7 +136,7 @@
                     let entries = self.workers.iter().filter(listed).map(|worker| {
                         let mut entry = listing(worker.id.as_str());
                         entry.address = place_address(worker.place);
-                        entry.life = Some(worker.life);
+                        entry.incarnation = Some(worker.life);
                         entry.draining = worker.draining_since.is_some();
                         entry.hall = hall_name(hall_of(worker.place));
                         entry.capacity = worker.room.reported();
@@ -152,7 +152,7 @@
                     let ghosts = ghosts.map(|ghost| WorkerListing {
                         address: place_address(ghost.place),
                         hall: hall_name(hall_of(ghost.place)),
-                        life: Some(ghost.life),
+                        incarnation: Some(ghost.life),
                         ..listing(ghost.worker.as_str())
                     });
                     let at_most_ms = STORE_START_MS + now + READ_MS;
--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 use sandshelf_jobs::{
-    EndReport, JobEvent, OrderAnswer, RunKey, RunOutcome, TaskKey, WorkerCall, WorkerLife,
+    EndReport, JobEvent, OrderAnswer, RunKey, RunOutcome, TaskKey, WorkerCall, WorkerIncarnation,
 };
 use sandshelf_model::{Millis, WorkerId};
 
@@ -20,7 +20,7 @@
 /// When the first life of the first worker began, in milliseconds since 1970.
 const FIRST_LIFE_MS: u64 = 1_769_000_000_000;
 /// Nobody has taken a hold.
-const NO_LIFE: WorkerLife = WorkerLife(0);
+const NO_LIFE: WorkerIncarnation = WorkerIncarnation(0);
 /// What the clock of a worker that has started again shows at most, by an eighth: two hours, as was seen.
 const MOST_CLOCK_MS: u64 = 1_000_000;
 
@@ -29,7 +29,7 @@
         self.incarnations += 1;
         EmulatedWorker {
             id: WorkerId::from(format!("w-{}", self.incarnations)),
-            life: WorkerLife(FIRST_LIFE_MS + self.incarnations as u64),
+            life: WorkerIncarnation(FIRST_LIFE_MS + self.incarnations as u64),
             place,
             clock_percent: self.random.random_range(98..=100),
             clock_from: (0, 0),
--- a/crates/jobs/tests/support/mod.rs
+++ b/crates/jobs/tests/support/mod.rs
@@ -87,7 +87,7 @@
     /// A worker answers a hold; its clock is this rig's, and which life it is it doesn't say.
     pub fn report(&mut self, worker: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
         let report = HoldReport {
-            life: None,
+            incarnation: None,
             carrier_late_ms: 0,
             clock: self.now,
             running,
@@ -274,7 +274,7 @@
     let number = name.trim_start_matches(|letter: char| !letter.is_ascii_digit());
     let port: u16 = number.parse().expect("a worker's name ends in a number");
     WorkerListing {
-        life: None,
+        incarnation: None,
         worker: WorkerId::from(name),
         service: "desk".to_owned(),
         address: ([10, 0, 0, 1], port).into(),
--- a/crates/jobs/tests/support/relaying.rs
+++ b/crates/jobs/tests/support/relaying.rs
@@ -97,7 +97,7 @@
 /// A worker's answer to a hold.
 pub fn report() -> RelayedAnswer {
     HoldAnswer::Report(HoldReport {
-        life: None,
+        incarnation: None,
         carrier_late_ms: 0,
         clock: 10,
         running: Vec::new(),
--- a/crates/sandshelfd/src/jobs/meters.rs
+++ b/crates/sandshelfd/src/jobs/meters.rs
@@ -172,7 +172,7 @@
         | JobNote::TakeoverOver { .. }
         | JobNote::Unfound(_)
         | JobNote::Fenced { .. }
-        | JobNote::AnotherLife { .. }
+        | JobNote::WorkerRestarted { .. }
         | JobNote::EndPassedOver { .. }
         | JobNote::WorkerDraining { .. }
         | JobNote::SureAgain { .. }
--- a/crates/sandshelfd/src/jobs/notes.rs
+++ b/crates/sandshelfd/src/jobs/notes.rs
@@ -133,14 +133,17 @@
             ],
         ),
         JobNote::Unfound(task) => event("task_unfound", &[("task", task)]),
-        JobNote::Fenced { worker, life } => event(
+        JobNote::Fenced {
+            worker,
+            incarnation,
+        } => event(
             "worker_fenced",
-            &[("worker", worker), ("life", &or_none(life.as_ref()))],
+            &[("worker", worker), ("life", &or_none(incarnation.as_ref()))],
         ),
-        JobNote::AnotherLife {
+        JobNote::WorkerRestarted {
             worker,
             before,
-            life,
+            incarnation,
             clock_before,
             clock,
             noted,
@@ -150,7 +153,7 @@
             &[
                 ("worker", worker),
                 ("before", &or_none(before.as_ref())),
-                ("life", &or_none(life.as_ref())),
+                ("life", &or_none(incarnation.as_ref())),
                 ("clock_before", &or_none(clock_before.as_ref())),
                 ("clock", clock),
                 ("noted", noted),
