--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -5,7 +5,7 @@
 //! on the users' platform comes on top; `PLATFORM_PERCENT` was set so that an owner of 490 workers uses what it was
 //! seen to use there on a day like the one played.
 
-use sandshelf_jobs::{HoldAnswer, JobAction, JobEvent, WorkerCall};
+use sandshelf_jobs::{JobAction, JobEvent, RenewalAnswer, WorkerCall};
 
 use crate::queue::Micros;
 
@@ -95,14 +95,14 @@
     /// By its kind, by how much it lists, and by how many workers the scheduler knows.
     pub fn of(event: &JobEvent, workers: usize) -> Self {
         EventWeight(match event {
-            JobEvent::HoldAnswered(_, HoldAnswer::Report(report)) => {
+            JobEvent::RenewalAnswered(_, RenewalAnswer::Report(report)) => {
                 let running = report.running.len() as u64 * RUN_NS / 1_000;
                 running + report.ended.len() as u64 * END_US
             }
             JobEvent::JobListed { .. } => JOB_US,
             JobEvent::WorkersListed(list) => list.len() as u64 * WORKER_NS / 1_000,
             JobEvent::Tick { .. } => workers as u64 * TICK_WORKER_NS / 1_000,
-            JobEvent::HoldAnswered(..)
+            JobEvent::RenewalAnswered(..)
             | JobEvent::StartAnswered(..)
             | JobEvent::StopAnswered(..)
             | JobEvent::PaceAnswered(..)
--- a/crates/emulator/src/host/calls.rs
+++ b/crates/emulator/src/host/calls.rs
@@ -44,7 +44,7 @@
     /// Whether it waits there for something to happen, and is given up with the connections.
     pub fn is_parked(&self) -> bool {
         match self {
-            CallBody::Order(order) => matches!(order.call, WorkerCall::Hold(_)),
+            CallBody::Order(order) => matches!(order.call, WorkerCall::Renew(_)),
             CallBody::Ask(ask) => ask.is_parked(),
         }
     }
--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -238,7 +238,7 @@
                     return;
                 }
                 let place = place_of(address);
-                let is_hold = matches!(call, WorkerCall::Hold(_));
+                let is_hold = matches!(call, WorkerCall::Renew(_));
                 let order = WorkerOrder {
                     epoch,
                     worker,
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -303,7 +303,7 @@
         match open.body {
             CallBody::Order(order) => {
                 if let CallPeer::Worker(place) = open.peer {
-                    if !matches!(order.call, WorkerCall::Hold(_)) {
+                    if !matches!(order.call, WorkerCall::Renew(_)) {
                         if let Some(next) = self.calls.give_turn(place) {
                             self.inbox.push_back(WorkItem::Begin(open.peer, next));
                         }
@@ -336,7 +336,7 @@
         let now = self.processor.free_at().max(now);
         let wait = match &body {
             CallBody::Order(WorkerOrder {
-                call: WorkerCall::Hold(hold),
+                call: WorkerCall::Renew(hold),
                 ..
             }) => hold.wait_ms * MS,
             _ => 0,
--- a/crates/emulator/src/host/work.rs
+++ b/crates/emulator/src/host/work.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use sandshelf_jobs::{HoldAnswer, JobEvent, JobNote, JobNumber, JobSpec, OrderAnswer, WorkerCall};
+use sandshelf_jobs::{
+    JobEvent, JobNote, JobNumber, JobSpec, OrderAnswer, RenewalAnswer, WorkerCall,
+};
 
 use sandshelf_model::Millis;
 
@@ -92,6 +94,6 @@
         WorkerCall::Start(start) => JobEvent::StartAnswered(worker, start.key, answer),
         WorkerCall::Stop(key) => JobEvent::StopAnswered(worker, *key, answer),
         WorkerCall::Pace(key, _) => JobEvent::PaceAnswered(worker, *key, answer),
-        WorkerCall::Hold(_) => JobEvent::HoldAnswered(worker, HoldAnswer::Failed(answer)),
+        WorkerCall::Renew(_) => JobEvent::RenewalAnswered(worker, RenewalAnswer::Failed(answer)),
     }
 }
--- a/crates/emulator/src/meter.rs
+++ b/crates/emulator/src/meter.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rustix::time::{clock_gettime, ClockId};
-use sandshelf_jobs::{HoldAnswer, JobAction, JobEvent, WorkerCall};
+use sandshelf_jobs::{JobAction, JobEvent, RenewalAnswer, WorkerCall};
 
 use crate::costs::{scheduler_us, EventWeight};
 
@@ -64,12 +64,12 @@
         for event in events {
             match event {
                 JobEvent::Tick { .. } => counts[1] += 1.0,
-                JobEvent::HoldAnswered(_, HoldAnswer::Report(report)) => {
+                JobEvent::RenewalAnswered(_, RenewalAnswer::Report(report)) => {
                     counts[2] += 1.0;
                     counts[3] += report.running.len() as f64;
                     counts[4] += report.ended.len() as f64;
                 }
-                JobEvent::HoldAnswered(..)
+                JobEvent::RenewalAnswered(..)
                 | JobEvent::StartAnswered(..)
                 | JobEvent::StopAnswered(..)
                 | JobEvent::PaceAnswered(..) => counts[5] += 1.0,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -131,7 +131,7 @@
             CallBody::Ask(_) => (&mut self.asks, &mut self.store_bytes),
             CallBody::Order(order) => {
                 let count = match order.call {
-                    WorkerCall::Hold(_) => &mut self.holds,
+                    WorkerCall::Renew(_) => &mut self.holds,
                     WorkerCall::Start(_) => &mut self.starts,
                     WorkerCall::Stop(_) => &mut self.stops,
                     WorkerCall::Pace(..) => &mut self.paces,
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -1,8 +1,8 @@
 //! How many bytes messages have in their encoded form.
 
 use sandshelf_jobs::{
-    CommitBatch, EndReport, HoldAnswer, HoldReport, JobEvent, JobSpec, OrderAnswer, ProgressRow,
-    RunReport, TaskKey, WorkerCall,
+    CommitBatch, EndReport, JobEvent, JobSpec, OrderAnswer, ProgressRow, RenewalAnswer,
+    RenewalReport, RunReport, TaskKey, WorkerCall,
 };
 use serde_json::to_vec;
 
@@ -60,7 +60,7 @@
         }
         WorkerCall::Stop(key) => 40 + task(&key.task) + digits(key.run),
         WorkerCall::Pace(key, _) => 56 + task(&key.task) + digits(key.run),
-        WorkerCall::Hold(hold) => {
+        WorkerCall::Renew(hold) => {
             60 + digits(hold.last_seen) + hold.deadline.map_or(0, |at| 15 + digits(at))
         }
     };
@@ -78,7 +78,7 @@
     18 + task(&end.key.task) + numbers + text(&end.checkpoint)
 }
 
-fn report(report: &HoldReport) -> u64 {
+fn report(report: &RenewalReport) -> u64 {
     let lists = report.running.iter().map(running).sum::<u64>();
     45 + lists + report.ended.iter().map(ended).sum::<u64>()
 }
@@ -86,7 +86,7 @@
 /// A worker's answer.
 pub fn worker_answer(event: &JobEvent) -> u64 {
     let body = match event {
-        JobEvent::HoldAnswered(_, HoldAnswer::Report(listed)) => report(listed),
+        JobEvent::RenewalAnswered(_, RenewalAnswer::Report(listed)) => report(listed),
         JobEvent::StartAnswered(_, _, OrderAnswer::Refused(..)) => 38,
         _ => 20,
     };
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use sandshelf_jobs::{
-    EndReport, HoldAnswer, HoldCall, HoldReport, JobEvent, OrderAnswer, RefusalReason, RunKey,
-    RunOutcome, RunReport, StartCall, TaskKey, WorkerCall, WorkerIncarnation,
+    EndReport, JobEvent, OrderAnswer, RefusalReason, RenewalAnswer, RenewalCall, RenewalReport,
+    RunKey, RunOutcome, RunReport, StartCall, TaskKey, WorkerCall, WorkerIncarnation,
 };
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
@@ -233,7 +233,7 @@
                 WorkerCall::Start(start) => JobEvent::StartAnswered(id, start.key, refused),
                 WorkerCall::Stop(key) => JobEvent::StopAnswered(id, *key, refused),
                 WorkerCall::Pace(key, _) => JobEvent::PaceAnswered(id, *key, refused),
-                WorkerCall::Hold(_) => JobEvent::HoldAnswered(id, HoldAnswer::Fenced),
+                WorkerCall::Renew(_) => JobEvent::RenewalAnswered(id, RenewalAnswer::Fenced),
             };
         }
         self.fence = epoch;
@@ -250,7 +250,7 @@
                 self.pace(key, *percent);
                 JobEvent::PaceAnswered(id, *key, OrderAnswer::Done(clock))
             }
-            WorkerCall::Hold(hold) => {
+            WorkerCall::Renew(hold) => {
                 self.prolong(clock, hold, scene);
                 self.report(scene.now, scene.interference)
             }
@@ -338,7 +338,7 @@
         }
     }
 
-    fn prolong(&mut self, clock: u64, hold: &HoldCall, scene: &mut WorkerScene<'_>) {
+    fn prolong(&mut self, clock: u64, hold: &RenewalCall, scene: &mut WorkerScene<'_>) {
         if let Some(deadline) = hold.deadline {
             self.lease_until = self
                 .lease_until
@@ -376,14 +376,14 @@
                 gauge: Some(tail.unwrap_or(used)),
             }
         });
-        let report = HoldReport {
+        let report = RenewalReport {
             incarnation: Some(self.birth.life),
             carrier_late_ms: 0,
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.iter().map(|(_, end)| end.clone()).collect(),
         };
-        JobEvent::HoldAnswered(self.id.clone(), HoldAnswer::Report(report))
+        JobEvent::RenewalAnswered(self.id.clone(), RenewalAnswer::Report(report))
     }
 }
 
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use sandshelf_jobs::{HoldAnswer, JobEvent, WorkerCall, WorkerIncarnation, WorkerListing};
+use sandshelf_jobs::{JobEvent, RenewalAnswer, WorkerCall, WorkerIncarnation, WorkerListing};
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
 use super::{EmulatedWorld, Happening, HostLife};
@@ -213,7 +213,7 @@
         let event = worker.take(order.epoch, &order.call, &mut scene);
         let hangs = worker.hangs;
         let waits = match (&order.call, &event) {
-            (WorkerCall::Hold(hold), JobEvent::HoldAnswered(_, HoldAnswer::Report(_))) => {
+            (WorkerCall::Renew(hold), JobEvent::RenewalAnswered(_, RenewalAnswer::Report(_))) => {
                 hold.wait_ms * MS * u64::from(!worker.has_ended())
             }
             _ => 0,
--- a/crates/emulator/src/world/passage.rs
+++ b/crates/emulator/src/world/passage.rs
@@ -113,7 +113,7 @@
 
     fn is_late(&mut self, call: &WorkerCall) -> bool {
         let (until, of_thousand) = self.late_orders;
-        let order = !matches!(call, WorkerCall::Hold(_));
+        let order = !matches!(call, WorkerCall::Renew(_));
         order && self.now < until && self.random.random_range(0..1_000) < of_thousand
     }
 
--- a/crates/jobs/src/events.rs
+++ b/crates/jobs/src/events.rs
@@ -10,7 +10,7 @@
 use crate::note::JobNote;
 use crate::press::StrengthRow;
 use crate::progress::ProgressRow;
-use crate::reports::{HoldAnswer, OrderAnswer, WorkerClock, WorkerListing};
+use crate::reports::{OrderAnswer, RenewalAnswer, WorkerClock, WorkerListing};
 use crate::roster::WorkerRoster;
 use crate::silent::SilentWorkers;
 use crate::spec::{JobSpec, QueueRules};
@@ -56,7 +56,7 @@
     /// A worker answered an order to change a run's pace, or did not.
     PaceAnswered(WorkerId, RunKey, OrderAnswer),
     /// A worker answered a hold, or did not.
-    HoldAnswered(WorkerId, HoldAnswer),
+    RenewalAnswered(WorkerId, RenewalAnswer),
     /// The halls that operators have evacuated, all of them: nothing is to be started there.
     HallsEvacuated(BTreeSet<HallId>),
     /// A durable write took effect.
@@ -85,7 +85,7 @@
 
 /// A call that prolongs the lease and reads a worker's state.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HoldCall {
+pub struct RenewalCall {
     /// The lease's end on the worker's clock; none before that clock is known.
     pub deadline: Option<WorkerClock>,
     /// Ends up to this number are acknowledged.
@@ -104,7 +104,7 @@
     /// Change the share at which a run works, in percent.
     Pace(RunKey, u32),
     /// Prolong the lease and report.
-    Hold(HoldCall),
+    Renew(RenewalCall),
 }
 
 /// What is to be written durably, all or nothing.
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -5,7 +5,7 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::due::{DueTimes, TaskChain};
-use crate::events::{HoldCall, WorkerCall};
+use crate::events::{RenewalCall, WorkerCall};
 use crate::ids::RunKey;
 use crate::job::TaskStage;
 use crate::life::ClockSight;
@@ -14,7 +14,7 @@
     TICK_MS, UNACKNOWLEDGED_HOLD_MS, UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
-use crate::reports::{EndReport, HoldAnswer, HoldReport, OrderAnswer, RunReport};
+use crate::reports::{EndReport, OrderAnswer, RenewalAnswer, RenewalReport, RunReport};
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 use crate::spec::StepSpec;
@@ -49,7 +49,7 @@
             if let Some(deadline) = call.deadline {
                 worker.life.granted = worker.life.granted.max(deadline);
             }
-            self.call(&id, WorkerCall::Hold(call));
+            self.call(&id, WorkerCall::Renew(call));
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Takes in the answer to a hold.
-    pub(crate) fn take_hold(&mut self, now: Millis, worker: &WorkerId, answer: HoldAnswer) {
+    pub(crate) fn take_hold(&mut self, now: Millis, worker: &WorkerId, answer: RenewalAnswer) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
@@ -78,24 +78,24 @@
         let waited = now.saturating_sub(sent.unwrap_or(now));
         match &answer {
             // An end answers a look before its wait is over; such an answer doesn't tell how late it came.
-            HoldAnswer::Report(_) if waited < state.hold_wait => {}
-            HoldAnswer::Report(report) => {
+            RenewalAnswer::Report(_) if waited < state.hold_wait => {}
+            RenewalAnswer::Report(report) => {
                 // What the call took elsewhere says nothing of this owner.
                 let late = waited - state.hold_wait;
                 let own = late.saturating_sub(report.carrier_late_ms);
                 self.strain.note_answer(own);
             }
-            HoldAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
+            RenewalAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
                 self.strain.note_failure();
             }
-            HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
+            RenewalAnswer::Failed(_) | RenewalAnswer::Fenced => {}
         }
         match answer {
-            HoldAnswer::Report(report) => {
+            RenewalAnswer::Report(report) => {
                 self.take_report(now, worker, sent.unwrap_or(now), report);
             }
-            HoldAnswer::Fenced => self.deposed = true,
-            HoldAnswer::Failed(answer) => {
+            RenewalAnswer::Fenced => self.deposed = true,
+            RenewalAnswer::Failed(answer) => {
                 state.unsure = true;
                 state.failed_holds += 1;
                 self.hold_at(worker, now + HOLD_RETRY_MS);
@@ -112,7 +112,13 @@
     }
 
     /// Takes in a report; the look that it answers went out at `asked`.
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: HoldReport) {
+    fn take_report(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        asked: Millis,
+        report: RenewalReport,
+    ) {
         self.take_life(now, worker, asked, &report);
         let Some(state) = self.workers.get_mut(worker) else {
             return;
@@ -355,7 +361,7 @@
     now: Millis,
     lease: Option<Millis>,
     strain: &WorkStrain,
-) -> HoldCall {
+) -> RenewalCall {
     let is_watched = |record: &RunRecord| record.target_ms > 0 || record.standing;
     let watched = worker.runs.values().any(is_watched);
     let stopping = worker.runs.values().any(|record| {
@@ -371,7 +377,7 @@
         strain.hold_wait_ms(IDLE_HOLD_WAIT_MS)
     };
     let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
-    HoldCall {
+    RenewalCall {
         deadline: clock.zip(lease).map(|(clock, lease)| clock + lease),
         last_seen: match worker.owes_acknowledgement() && worker.may_acknowledge(now) {
             true => worker.life.durable,
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -62,7 +62,7 @@
 mod worker;
 
 pub use crash::{CrashNote, CrashRecord, CrashSuspect};
-pub use events::{CommitBatch, HoldCall, JobAction, JobEvent, StartCall, WorkerCall};
+pub use events::{CommitBatch, JobAction, JobEvent, RenewalCall, StartCall, WorkerCall};
 pub use gauges::SchedulerCounts;
 pub use ids::{BadIdentifier, JobNumber, RunKey, TaskKey, WorkerIncarnation};
 pub use limits::SchedulerLimits;
@@ -71,7 +71,7 @@
 pub use progress::{ProgressRow, TaskProgress};
 pub use queues::{QueueEntry, QueueTable};
 pub use reports::{
-    EndReport, HoldAnswer, HoldReport, OrderAnswer, RefusalReason, RunOutcome, RunReport,
+    EndReport, OrderAnswer, RefusalReason, RenewalAnswer, RenewalReport, RunOutcome, RunReport,
     WorkerClock, WorkerListing,
 };
 pub use roster::WorkerRoster;
--- a/crates/jobs/src/relay/desk.rs
+++ b/crates/jobs/src/relay/desk.rs
@@ -12,7 +12,7 @@
 use super::witness::OutageWitness;
 use crate::events::{JobEvent, WorkerCall};
 use crate::ids::RunKey;
-use crate::reports::{HoldAnswer, OrderAnswer};
+use crate::reports::{OrderAnswer, RenewalAnswer};
 
 /// How long an answer is waited for beside the wait that a hold asks for: a relay gives a worker up after 0.5 s, and its own
 /// turn with the ways there and back take some 10 ms, on a weak host under load up to 0.3 s.
@@ -83,7 +83,7 @@
     Start(RunKey),
     Stop(RunKey),
     Pace(RunKey),
-    Hold,
+    Renew,
 }
 
 #[derive(Clone, Debug)]
@@ -211,7 +211,7 @@
             WorkerCall::Start(start) => (OrderKind::Start(start.key), 0),
             WorkerCall::Stop(key) => (OrderKind::Stop(*key), 0),
             WorkerCall::Pace(key, _) => (OrderKind::Pace(*key), 0),
-            WorkerCall::Hold(hold) => (OrderKind::Hold, hold.wait_ms),
+            WorkerCall::Renew(hold) => (OrderKind::Renew, hold.wait_ms),
         };
         self.order_count += 1;
         let order = OpenOrder {
@@ -415,7 +415,7 @@
 impl OpenOrder {
     fn unanswered(self) -> JobEvent {
         let answer = match self.kind {
-            OrderKind::Hold => HoldAnswer::Failed(OrderAnswer::Unknown).into(),
+            OrderKind::Renew => RenewalAnswer::Failed(OrderAnswer::Unknown).into(),
             _ => OrderAnswer::Unknown.into(),
         };
         self.event(answer).expect("an answer of the order's kind")
@@ -434,8 +434,8 @@
             (OrderKind::Pace(key), RelayedAnswer::Order(answer)) => {
                 JobEvent::PaceAnswered(worker, key, answer)
             }
-            (OrderKind::Hold, RelayedAnswer::Hold(answer)) => {
-                JobEvent::HoldAnswered(worker, answer)
+            (OrderKind::Renew, RelayedAnswer::Renewal(answer)) => {
+                JobEvent::RenewalAnswered(worker, answer)
             }
             _ => return None,
         })
--- a/crates/jobs/src/relay/messages.rs
+++ b/crates/jobs/src/relay/messages.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::events::{JobEvent, WorkerCall};
-use crate::reports::{HoldAnswer, OrderAnswer};
+use crate::reports::{OrderAnswer, RenewalAnswer};
 
 /// The version of these messages; to be raised with each change of a type in them.
 pub const RELAY_VERSION: u16 = 3;
@@ -61,13 +61,13 @@
     /// To an order to start, to stop or to change a pace.
     Order(OrderAnswer),
     /// To a hold.
-    Hold(HoldAnswer),
+    Renewal(RenewalAnswer),
 }
 
 impl RelayedAnswer {
     /// Notes by how much longer than asked the call took here.
     pub fn came_late(&mut self, late_ms: Millis) {
-        if let RelayedAnswer::Hold(HoldAnswer::Report(report)) = self {
+        if let RelayedAnswer::Renewal(RenewalAnswer::Report(report)) = self {
             report.carrier_late_ms = late_ms;
         }
     }
@@ -78,15 +78,15 @@
             JobEvent::StartAnswered(_, _, answer)
             | JobEvent::StopAnswered(_, _, answer)
             | JobEvent::PaceAnswered(_, _, answer) => Some(answer.into()),
-            JobEvent::HoldAnswered(_, answer) => Some(answer.into()),
+            JobEvent::RenewalAnswered(_, answer) => Some(answer.into()),
             _ => None,
         }
     }
 }
 
-impl From<HoldAnswer> for RelayedAnswer {
-    fn from(answer: HoldAnswer) -> Self {
-        RelayedAnswer::Hold(answer)
+impl From<RenewalAnswer> for RelayedAnswer {
+    fn from(answer: RenewalAnswer) -> Self {
+        RelayedAnswer::Renewal(answer)
     }
 }
 
--- a/crates/jobs/src/relay/mod.rs
+++ b/crates/jobs/src/relay/mod.rs
@@ -11,7 +11,7 @@
 //!
 //! ```
 //! use sandshelf_jobs::relay::{OrderRoute, RelayDesk, RelayGreeting, RelayStation};
-//! use sandshelf_jobs::{HoldAnswer, HoldCall, OrderAnswer, WorkerCall};
+//! use sandshelf_jobs::{RenewalAnswer, RenewalCall, OrderAnswer, WorkerCall};
 //! use sandshelf_model::{HallId, HostId, WorkerId};
 //!
 //! // An owner with a tenth of a core and 100 workers needs help.
@@ -21,7 +21,7 @@
 //! let relay = desk.join(0, greeting).expect("the same version");
 //!
 //! let worker = WorkerId::from("w-1");
-//! let call = WorkerCall::Hold(HoldCall { deadline: None, last_seen: 0, wait_ms: 0 });
+//! let call = WorkerCall::Renew(RenewalCall { deadline: None, last_seen: 0, wait_ms: 0 });
 //! let address = ([10, 0, 0, 1], 80).into();
 //! assert_eq!(desk.route(0, &worker, address, call), OrderRoute::Relayed(relay));
 //!
@@ -29,7 +29,7 @@
 //! let mut station = RelayStation::new(7);
 //! let (_, message) = desk.take_messages(0).pop().expect("one message");
 //! let orders = station.take(0, message).expect("orders of this epoch");
-//! station.finish(orders[0].number, HoldAnswer::Failed(OrderAnswer::Unreachable).into());
+//! station.finish(orders[0].number, RenewalAnswer::Failed(OrderAnswer::Unreachable).into());
 //!
 //! let answers = station.take_answers().expect("an answer");
 //! assert_eq!(desk.take(5, relay, answers).events.len(), 1);
--- a/crates/jobs/src/relay/station.rs
+++ b/crates/jobs/src/relay/station.rs
@@ -8,7 +8,7 @@
 use super::messages::{RelayFault, RelayMessage, RelayedAnswer, RelayedOrder, ShardSight};
 use super::way::QuickestWay;
 use crate::events::WorkerCall;
-use crate::reports::{HoldAnswer, OrderAnswer};
+use crate::reports::{OrderAnswer, RenewalAnswer};
 
 /// The orders that a host carries for the owner of one epoch; it ends with the connection to that owner.
 #[derive(Clone, Debug)]
@@ -121,7 +121,7 @@
 /// What is told of an order that was not carried out.
 fn not_sent(call: &WorkerCall) -> RelayedAnswer {
     match call {
-        WorkerCall::Hold(_) => HoldAnswer::Failed(OrderAnswer::NotSent).into(),
+        WorkerCall::Renew(_) => RenewalAnswer::Failed(OrderAnswer::NotSent).into(),
         WorkerCall::Start(_) | WorkerCall::Stop(_) | WorkerCall::Pace(..) => {
             OrderAnswer::NotSent.into()
         }
--- a/crates/jobs/src/reports.rs
+++ b/crates/jobs/src/reports.rs
@@ -78,7 +78,7 @@
 
 /// What a worker answers to a hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HoldReport {
+pub struct RenewalReport {
     /// Which life of the worker answers, where it says so.
     pub incarnation: Option<WorkerIncarnation>,
     /// The worker's clock.
@@ -132,9 +132,9 @@
 
 /// What became of a hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum HoldAnswer {
+pub enum RenewalAnswer {
     /// The worker's state.
-    Report(HoldReport),
+    Report(RenewalReport),
     /// The worker has seen a newer epoch.
     Fenced,
     /// Anything else, as for orders.
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -11,7 +11,7 @@
 use crate::ids::RunKey;
 use crate::life::LifeState;
 use crate::note::{JobNote, LossCause, StopCause};
-use crate::reports::HoldReport;
+use crate::reports::RenewalReport;
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 
@@ -27,7 +27,7 @@
         now: Millis,
         worker: &WorkerId,
         asked: Millis,
-        report: &HoldReport,
+        report: &RenewalReport,
     ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
@@ -44,7 +44,13 @@
     ///
     /// What the report lists is at work there. What the life before had answered for, by a look or before the look went out that this report
     /// answers, has ended with it; anything else may be at work in the new life, or be begun there.
-    fn begin_life(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: &HoldReport) {
+    fn begin_life(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        asked: Millis,
+        report: &RenewalReport,
+    ) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
@@ -143,7 +149,7 @@
 }
 
 /// The runs that a report lists, at work or ended.
-fn listed_runs(report: &HoldReport) -> BTreeSet<RunKey> {
+fn listed_runs(report: &RenewalReport) -> BTreeSet<RunKey> {
     let running = report.running.iter().map(|run| run.key);
     let ended = report.ended.iter().map(|end| end.key);
     running.chain(ended).collect()
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -298,7 +298,7 @@
             JobEvent::PaceAnswered(worker, key, answer) => {
                 self.take_pace_answer(now, &worker, key, answer);
             }
-            JobEvent::HoldAnswered(worker, answer) => self.take_hold(now, &worker, answer),
+            JobEvent::RenewalAnswered(worker, answer) => self.take_hold(now, &worker, answer),
             JobEvent::Committed(id) => self.take_commit(now, id),
             JobEvent::SureUntil(until) => self.take_tenure(now, until),
             JobEvent::Tick { wall_ms } => self.tick(now, wall_ms),
--- a/crates/jobs/tests/handover.rs
+++ b/crates/jobs/tests/handover.rs
@@ -247,7 +247,7 @@
         let holds = rig.actions.iter().filter_map(|action| match action {
             JobAction::Call {
                 worker,
-                call: WorkerCall::Hold(hold),
+                call: WorkerCall::Renew(hold),
                 ..
             } if *worker == id => hold.deadline,
             _ => None,
--- a/crates/jobs/tests/kinds.rs
+++ b/crates/jobs/tests/kinds.rs
@@ -177,7 +177,7 @@
 fn last_seen(rig: &SchedulerRig) -> Vec<u64> {
     let holds = rig.actions.iter().filter_map(|action| match action {
         sandshelf_jobs::JobAction::Call {
-            call: sandshelf_jobs::WorkerCall::Hold(hold),
+            call: sandshelf_jobs::WorkerCall::Renew(hold),
             ..
         } => Some(hold.last_seen),
         _ => None,
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -9,7 +9,7 @@
 mod support;
 
 use sandshelf_jobs::{
-    EndReport, HoldAnswer, HoldReport, JobAction, JobEvent, JobNumber, JobStage, OrderAnswer,
+    EndReport, JobAction, JobEvent, JobNumber, JobStage, OrderAnswer, RenewalAnswer, RenewalReport,
     RunKey, RunOutcome, RunReport, StepSpec, TakeoverInfo, WorkerCall, WorkerIncarnation,
     WorkerListing,
 };
@@ -20,8 +20,8 @@
 const FIRST_CLOCK: u64 = 4_000_000;
 
 /// A worker's report in one of its lives.
-fn told(life: u64, clock: u64, running: Vec<RunReport>, ended: Vec<EndReport>) -> HoldReport {
-    HoldReport {
+fn told(life: u64, clock: u64, running: Vec<RunReport>, ended: Vec<EndReport>) -> RenewalReport {
+    RenewalReport {
         incarnation: Some(WorkerIncarnation(life)),
         carrier_late_ms: 0,
         clock,
@@ -84,7 +84,7 @@
 fn acknowledged(rig: &SchedulerRig) -> u64 {
     let mut holds = rig.actions.iter().rev().filter_map(|action| match action {
         JobAction::Call {
-            call: WorkerCall::Hold(hold),
+            call: WorkerCall::Renew(hold),
             ..
         } => Some(hold.last_seen),
         _ => None,
@@ -291,8 +291,8 @@
 }
 
 fn replace(rig: &mut SchedulerRig) {
-    let replaced = HoldAnswer::Failed(OrderAnswer::Replaced);
-    rig.tell(JobEvent::HoldAnswered(WorkerId::from("w-1"), replaced));
+    let replaced = RenewalAnswer::Failed(OrderAnswer::Replaced);
+    rig.tell(JobEvent::RenewalAnswered(WorkerId::from("w-1"), replaced));
 }
 
 /// The final states that are written of the second job.
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -7,7 +7,7 @@
     decode_greeting, decode_message, encode_greeting, encode_message, waits_for_relays, RelayDesk,
     RelayFault, RelayMessage,
 };
-use sandshelf_jobs::{HoldAnswer, HoldCall, JobEvent, OrderAnswer, StartCall, WorkerCall};
+use sandshelf_jobs::{JobEvent, OrderAnswer, RenewalAnswer, RenewalCall, StartCall, WorkerCall};
 use sandshelf_model::WorkerId;
 use support::relaying::*;
 
@@ -83,7 +83,7 @@
     route(&mut desk, 0, 2, start(1));
     let unanswered = desk.leave(0, relay);
     let expected = [
-        JobEvent::HoldAnswered(worker(0), HoldAnswer::Failed(OrderAnswer::Unknown)),
+        JobEvent::RenewalAnswered(worker(0), RenewalAnswer::Failed(OrderAnswer::Unknown)),
         JobEvent::StartAnswered(worker(2), key(1), OrderAnswer::Unknown),
     ];
     assert_eq!(unanswered, expected);
@@ -231,7 +231,7 @@
     let name = |number: usize| WorkerId::from(format!("i-{number:010x}"));
     desk.note_workers((0..890).map(|number| (name(number), hall(number))));
     join(&mut desk, "a", 0, STRONG);
-    let call = WorkerCall::Hold(HoldCall {
+    let call = WorkerCall::Renew(RenewalCall {
         deadline: Some(482_113),
         last_seen: 157,
         wait_ms: 500,
--- a/crates/jobs/tests/rooms.rs
+++ b/crates/jobs/tests/rooms.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use sandshelf_jobs::{
-    HoldAnswer, HoldReport, JobEvent, JobNumber, JobSpec, OrderAnswer, QueueRules, RunKey,
+    JobEvent, JobNumber, JobSpec, OrderAnswer, QueueRules, RenewalAnswer, RenewalReport, RunKey,
     StepSpec, TakeoverInfo, WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
@@ -171,19 +171,19 @@
         start.key,
         OrderAnswer::Done(clock),
     ));
-    let look = |clock, running| HoldReport {
+    let look = |clock, running| RenewalReport {
         incarnation: None,
         clock,
         running,
         ended: vec![],
         carrier_late_ms: 0,
     };
-    let early = HoldAnswer::Report(look(clock, vec![]));
-    rig.tell(JobEvent::HoldAnswered(worker.clone(), early));
+    let early = RenewalAnswer::Report(look(clock, vec![]));
+    rig.tell(JobEvent::RenewalAnswered(worker.clone(), early));
     rig.pass(50);
     assert!(rig.take_starts().is_empty(), "the run may be at work still");
-    let later = HoldAnswer::Report(look(clock + 50, vec![]));
-    rig.tell(JobEvent::HoldAnswered(worker, later));
+    let later = RenewalAnswer::Report(look(clock + 50, vec![]));
+    rig.tell(JobEvent::RenewalAnswered(worker, later));
     rig.pass(50);
     assert_eq!(rig.take_starts().len(), 1);
 }
--- a/crates/jobs/tests/strain.rs
+++ b/crates/jobs/tests/strain.rs
@@ -38,7 +38,7 @@
     loop {
         let look = rig.actions.iter().find_map(|action| match action {
             JobAction::Call {
-                call: WorkerCall::Hold(hold),
+                call: WorkerCall::Renew(hold),
                 ..
             } => Some(hold.wait_ms),
             _ => None,
--- a/crates/jobs/tests/support/crashing/mod.rs
+++ b/crates/jobs/tests/support/crashing/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sandshelf_jobs::{
-    EndReport, HoldAnswer, HoldCall, JobEvent, JobNumber, JobSpec, JobStage, OrderAnswer,
-    ProgressRow, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerIncarnation,
+    EndReport, JobEvent, JobNumber, JobSpec, JobStage, OrderAnswer, ProgressRow, RenewalAnswer,
+    RenewalCall, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerIncarnation,
     WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{Millis, WorkerId};
@@ -46,7 +46,7 @@
     runs: BTreeMap<RunKey, Millis>,
     ended: Vec<EndReport>,
     end_count: u64,
-    hold: Option<(Millis, HoldCall)>,
+    hold: Option<(Millis, RenewalCall)>,
 }
 
 /// A start that a worker carried out.
@@ -258,10 +258,10 @@
         worker.ended.clear();
         if let Some((at, call)) = worker.hold.take() {
             let id = WorkerId::from(worker.name.as_str());
-            let failed = HoldAnswer::Failed(OrderAnswer::Unknown);
+            let failed = RenewalAnswer::Failed(OrderAnswer::Unknown);
             let given_up = at + call.wait_ms + PATIENCE_MS;
             self.answers
-                .push((given_up, JobEvent::HoldAnswered(id, failed)));
+                .push((given_up, JobEvent::RenewalAnswered(id, failed)));
         }
         self.fuses.retain(|(_, place, _)| *place != index);
         let crashing = lost.keys().filter(|run| Some(run.task) != under);
--- a/crates/jobs/tests/support/crashing/orders.rs
+++ b/crates/jobs/tests/support/crashing/orders.rs
@@ -1,7 +1,7 @@
 //! What the fleet's workers answer to their owner, and what becomes of what it writes.
 
 use sandshelf_jobs::{
-    CommitBatch, HoldAnswer, HoldReport, JobAction, JobEvent, OrderAnswer, RunKey, RunReport,
+    CommitBatch, JobAction, JobEvent, OrderAnswer, RenewalAnswer, RenewalReport, RunKey, RunReport,
     WorkerCall,
 };
 use sandshelf_model::{Millis, WorkerId};
@@ -32,7 +32,7 @@
                     percent: 50,
                     gauge: None,
                 });
-                let report = HoldReport {
+                let report = RenewalReport {
                     incarnation: worker.life(self.returns),
                     carrier_late_ms: 0,
                     clock: worker.clock(now, self.returns),
@@ -102,7 +102,7 @@
                 self.answers
                     .push((now, JobEvent::PaceAnswered(id, key, answer)));
             }
-            WorkerCall::Hold(hold) => self.workers[index].hold = Some((now, hold)),
+            WorkerCall::Renew(hold) => self.workers[index].hold = Some((now, hold)),
         }
     }
 
@@ -124,9 +124,9 @@
             WorkerCall::Start(start) => (JobEvent::StartAnswered(id, start.key, answer), 0),
             WorkerCall::Stop(key) => (JobEvent::StopAnswered(id, *key, answer), 0),
             WorkerCall::Pace(key, _) => (JobEvent::PaceAnswered(id, *key, answer), 0),
-            WorkerCall::Hold(hold) => {
-                let failed = HoldAnswer::Failed(answer);
-                (JobEvent::HoldAnswered(id, failed), hold.wait_ms)
+            WorkerCall::Renew(hold) => {
+                let failed = RenewalAnswer::Failed(answer);
+                (JobEvent::RenewalAnswered(id, failed), hold.wait_ms)
             }
         };
         self.answers.push((self.rig.now + wait_ms + after, event));
--- a/crates/jobs/tests/support/emulator/mod.rs
+++ b/crates/jobs/tests/support/emulator/mod.rs
@@ -11,8 +11,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sandshelf_jobs::{
-    CommitBatch, HoldAnswer, HoldCall, JobEvent, JobNumber, JobScheduler, JobSpec, OrderAnswer,
-    OwnerTenure, ProgressRow, SilentWorkers, TaskKey, WorkerCall, WorkerIncarnation, WorkerRoster,
+    CommitBatch, JobEvent, JobNumber, JobScheduler, JobSpec, OrderAnswer, OwnerTenure, ProgressRow,
+    RenewalAnswer, RenewalCall, SilentWorkers, TaskKey, WorkerCall, WorkerIncarnation,
+    WorkerRoster,
 };
 use sandshelf_model::{Millis, WorkerId};
 
@@ -328,9 +329,9 @@
     }
 
     fn call(&mut self, epoch: u64, worker: WorkerId, call: WorkerCall) {
-        let order = !matches!(call, WorkerCall::Hold(_));
+        let order = !matches!(call, WorkerCall::Renew(_));
         let wait = match &call {
-            WorkerCall::Hold(hold) => hold.wait_ms,
+            WorkerCall::Renew(hold) => hold.wait_ms,
             _ => 0,
         };
         let arrives = self.now + self.random.random_range(1..4) + self.slow_way();
@@ -367,19 +368,19 @@
                 call,
             };
             match sent.call {
-                WorkerCall::Hold(hold) if wait > 0 => self.send_parked(at, sent, hold),
+                WorkerCall::Renew(hold) if wait > 0 => self.send_parked(at, sent, hold),
                 _ => self.send(at, Message::Arrives(sent)),
             }
         }
     }
 
     /// Sends a hold that waits: the lease counts from its arrival, the answer shows what runs when the wait is over.
-    fn send_parked(&mut self, at: Millis, sent: SentCall, hold: HoldCall) {
+    fn send_parked(&mut self, at: Millis, sent: SentCall, hold: RenewalCall) {
         let number = self.message_count;
         let arrival = SentCall {
             worker: sent.worker.clone(),
             hold: Some(ParkedHold::Arrival(number)),
-            call: WorkerCall::Hold(hold),
+            call: WorkerCall::Renew(hold),
             answers: false,
             ..sent
         };
@@ -389,14 +390,14 @@
             0 => hold.last_seen,
             _ => 0,
         };
-        let look = HoldCall {
+        let look = RenewalCall {
             deadline: None,
             last_seen,
             ..hold
         };
         let shown = SentCall {
             hold: Some(ParkedHold::Look(number)),
-            call: WorkerCall::Hold(look),
+            call: WorkerCall::Renew(look),
             ..sent
         };
         self.send(at + hold.wait_ms, Message::Arrives(shown));
@@ -425,6 +426,8 @@
         WorkerCall::Start(start) => JobEvent::StartAnswered(worker.clone(), start.key, answer),
         WorkerCall::Stop(key) => JobEvent::StopAnswered(worker.clone(), *key, answer),
         WorkerCall::Pace(key, _) => JobEvent::PaceAnswered(worker.clone(), *key, answer),
-        WorkerCall::Hold(_) => JobEvent::HoldAnswered(worker.clone(), HoldAnswer::Failed(answer)),
+        WorkerCall::Renew(_) => {
+            JobEvent::RenewalAnswered(worker.clone(), RenewalAnswer::Failed(answer))
+        }
     }
 }
--- a/crates/jobs/tests/support/emulator/orders.rs
+++ b/crates/jobs/tests/support/emulator/orders.rs
@@ -1,8 +1,8 @@
 //! What an emulated worker answers to an order.
 
 use sandshelf_jobs::{
-    HoldAnswer, HoldCall, HoldReport, OrderAnswer, RefusalReason, RunKey, RunOutcome, RunReport,
-    StartCall, TaskKey,
+    OrderAnswer, RefusalReason, RenewalAnswer, RenewalCall, RenewalReport, RunKey, RunOutcome,
+    RunReport, StartCall, TaskKey,
 };
 use sandshelf_model::{Millis, ResourceSize};
 
@@ -132,10 +132,10 @@
         OrderAnswer::Done(clock)
     }
 
-    pub(super) fn hold(&mut self, index: usize, epoch: u64, call: &HoldCall) -> HoldAnswer {
+    pub(super) fn hold(&mut self, index: usize, epoch: u64, call: &RenewalCall) -> RenewalAnswer {
         let now = self.now;
         if !self.pass_fence(index, epoch) {
-            return HoldAnswer::Fenced;
+            return RenewalAnswer::Fenced;
         }
         let max_lease = self.max_lease_ms();
         let worker = &mut self.workers[index];
@@ -159,7 +159,7 @@
             percent: 50,
             gauge: None,
         });
-        HoldAnswer::Report(HoldReport {
+        RenewalAnswer::Report(RenewalReport {
             incarnation: Some(worker.life),
             carrier_late_ms: 0,
             clock,
--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -293,7 +293,7 @@
                 let clock = self.workers[index].clock(now);
                 JobEvent::PaceAnswered(id, *key, OrderAnswer::Done(clock))
             }
-            WorkerCall::Hold(hold) => JobEvent::HoldAnswered(id, self.hold(index, epoch, hold)),
+            WorkerCall::Renew(hold) => JobEvent::RenewalAnswered(id, self.hold(index, epoch, hold)),
         };
         if answers {
             let delay = self.random.random_range(1..4) + self.slow_way();
--- a/crates/jobs/tests/support/mod.rs
+++ b/crates/jobs/tests/support/mod.rs
@@ -12,9 +12,9 @@
 pub use sandshelf_emulator::oracle;
 
 use sandshelf_jobs::{
-    CommitBatch, EndReport, HoldAnswer, HoldReport, JobAction, JobEvent, JobNumber, JobScheduler,
-    JobSpec, OrderAnswer, QueueRules, RunKey, RunOutcome, RunReport, SchedulerLimits, StartCall,
-    StepSpec, TakeoverInfo, TaskKey, WorkerCall, WorkerListing, WorkerRoster,
+    CommitBatch, EndReport, JobAction, JobEvent, JobNumber, JobScheduler, JobSpec, OrderAnswer,
+    QueueRules, RenewalAnswer, RenewalReport, RunKey, RunOutcome, RunReport, SchedulerLimits,
+    StartCall, StepSpec, TakeoverInfo, TaskKey, WorkerCall, WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
@@ -86,7 +86,7 @@
 
     /// A worker answers a hold; its clock is this rig's, and which life it is it doesn't say.
     pub fn report(&mut self, worker: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
-        let report = HoldReport {
+        let report = RenewalReport {
             incarnation: None,
             carrier_late_ms: 0,
             clock: self.now,
@@ -97,10 +97,10 @@
     }
 
     /// A worker answers a hold with a report of its own.
-    pub fn answer_hold(&mut self, worker: &str, report: HoldReport) {
-        self.tell(JobEvent::HoldAnswered(
+    pub fn answer_hold(&mut self, worker: &str, report: RenewalReport) {
+        self.tell(JobEvent::RenewalAnswered(
             WorkerId::from(worker),
-            HoldAnswer::Report(report),
+            RenewalAnswer::Report(report),
         ));
     }
 
@@ -110,7 +110,7 @@
         self.actions.retain(|action| match action {
             JobAction::Call {
                 worker: called,
-                call: WorkerCall::Hold(_),
+                call: WorkerCall::Renew(_),
                 ..
             } => called.as_str() != worker,
             _ => true,
@@ -118,8 +118,8 @@
         if self.actions.len() == before {
             return;
         }
-        let failed = HoldAnswer::Failed(OrderAnswer::Unknown);
-        self.tell(JobEvent::HoldAnswered(WorkerId::from(worker), failed));
+        let failed = RenewalAnswer::Failed(OrderAnswer::Unknown);
+        self.tell(JobEvent::RenewalAnswered(WorkerId::from(worker), failed));
     }
 
     pub fn start_answered(&mut self, worker: &str, key: RunKey, answer: OrderAnswer) {
@@ -183,7 +183,7 @@
         let waits = self.actions.iter().filter_map(|action| match action {
             JobAction::Call {
                 worker,
-                call: WorkerCall::Hold(hold),
+                call: WorkerCall::Renew(hold),
                 ..
             } if worker.as_str() == name => Some(hold.wait_ms),
             _ => None,
@@ -239,7 +239,7 @@
 fn deadlines_in<'a>(actions: impl Iterator<Item = &'a JobAction>) -> Vec<Millis> {
     let deadlines = actions.filter_map(|action| match action {
         JobAction::Call {
-            call: WorkerCall::Hold(hold),
+            call: WorkerCall::Renew(hold),
             ..
         } => hold.deadline,
         JobAction::Call {
--- a/crates/jobs/tests/support/relaying.rs
+++ b/crates/jobs/tests/support/relaying.rs
@@ -4,7 +4,7 @@
     OrderBatch, OrderRoute, RelayDesk, RelayGreeting, RelayMessage, RelayNumber, RelayedAnswer,
 };
 use sandshelf_jobs::{
-    HoldAnswer, HoldCall, HoldReport, JobNumber, RunKey, StartCall, TaskKey, WorkerCall,
+    JobNumber, RenewalAnswer, RenewalCall, RenewalReport, RunKey, StartCall, TaskKey, WorkerCall,
 };
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 
@@ -50,7 +50,7 @@
 
 /// A call that holds a worker.
 pub fn hold() -> WorkerCall {
-    WorkerCall::Hold(HoldCall {
+    WorkerCall::Renew(RenewalCall {
         deadline: Some(4_000),
         last_seen: 3,
         wait_ms: 500,
@@ -96,7 +96,7 @@
 
 /// A worker's answer to a hold.
 pub fn report() -> RelayedAnswer {
-    HoldAnswer::Report(HoldReport {
+    RenewalAnswer::Report(RenewalReport {
         incarnation: None,
         carrier_late_ms: 0,
         clock: 10,
--- a/crates/sandshelfd/src/jobs/calls.rs
+++ b/crates/sandshelfd/src/jobs/calls.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sandshelf_adapter::WorkerClient;
-use sandshelf_jobs::{HoldAnswer, JobEvent, OrderAnswer, WorkerCall};
+use sandshelf_jobs::{JobEvent, OrderAnswer, RenewalAnswer, WorkerCall};
 use sandshelf_model::WorkerId;
 use tokio::sync::Semaphore;
 
@@ -55,7 +55,7 @@
             // A hold may wait for an end, so that it has a connection of its own.
             let queued = SteadyInstant::now();
             let _turn = match call {
-                WorkerCall::Hold(_) => None,
+                WorkerCall::Renew(_) => None,
                 _ => turns.acquire().await.ok(),
             };
             let began = SteadyInstant::now();
@@ -77,8 +77,8 @@
         }
         WorkerCall::Stop(key) => JobEvent::StopAnswered(worker, *key, OrderAnswer::NotSent),
         WorkerCall::Pace(key, _) => JobEvent::PaceAnswered(worker, *key, OrderAnswer::NotSent),
-        WorkerCall::Hold(_) => {
-            JobEvent::HoldAnswered(worker, HoldAnswer::Failed(OrderAnswer::NotSent))
+        WorkerCall::Renew(_) => {
+            JobEvent::RenewalAnswered(worker, RenewalAnswer::Failed(OrderAnswer::NotSent))
         }
     }
 }
@@ -102,9 +102,9 @@
             let answer = client.pace(&worker, address, key, *percent).await;
             JobEvent::PaceAnswered(worker, *key, answer)
         }
-        WorkerCall::Hold(hold) => {
+        WorkerCall::Renew(hold) => {
             let answer = client.hold(&worker, address, hold).await;
-            JobEvent::HoldAnswered(worker, answer)
+            JobEvent::RenewalAnswered(worker, answer)
         }
     }
 }
--- a/crates/sandshelfd/src/jobs/meters.rs
+++ b/crates/sandshelfd/src/jobs/meters.rs
@@ -8,7 +8,7 @@
 use rocket::http::{Method, Status};
 use sandshelf_adapter::StoreFault;
 use sandshelf_jobs::relay::{DeskFigures, RelayFault};
-use sandshelf_jobs::{HoldAnswer, JobEvent, JobNote, JobStage, OrderAnswer, SchedulerCounts};
+use sandshelf_jobs::{JobEvent, JobNote, JobStage, OrderAnswer, RenewalAnswer, SchedulerCounts};
 
 use crate::jobs::notes::label;
 
@@ -109,7 +109,7 @@
         JobEvent::StartAnswered(_, _, answer) => ("start", outcome_of(answer)),
         JobEvent::StopAnswered(_, _, answer) => ("stop", outcome_of(answer)),
         JobEvent::PaceAnswered(_, _, answer) => ("pace", outcome_of(answer)),
-        JobEvent::HoldAnswered(_, answer) => ("hold", hold_outcome(answer)),
+        JobEvent::RenewalAnswered(_, answer) => ("hold", hold_outcome(answer)),
         _ => return,
     };
     counter!(ORDERS, "kind" => kind, "outcome" => outcome).increment(1);
@@ -129,11 +129,11 @@
     }
 }
 
-fn hold_outcome(answer: &HoldAnswer) -> &'static str {
+fn hold_outcome(answer: &RenewalAnswer) -> &'static str {
     match answer {
-        HoldAnswer::Report(_) => "done",
-        HoldAnswer::Fenced => "refused",
-        HoldAnswer::Failed(answer) => outcome_of(answer),
+        RenewalAnswer::Report(_) => "done",
+        RenewalAnswer::Fenced => "refused",
+        RenewalAnswer::Failed(answer) => outcome_of(answer),
     }
 }
 
--- a/crates/sandshelfd/src/jobs/station.rs
+++ b/crates/sandshelfd/src/jobs/station.rs
@@ -220,7 +220,7 @@
     fn carry(&self, order: RelayedOrder) {
         let began = clock::now();
         let asked_ms = match &order.call {
-            WorkerCall::Hold(hold) => hold.wait_ms,
+            WorkerCall::Renew(hold) => hold.wait_ms,
             WorkerCall::Start(_) | WorkerCall::Stop(_) | WorkerCall::Pace(..) => 0,
         };
         let mut calls = self.calls.borrow_mut();
