--- a/crates/jobs/src/relay/station.rs
+++ b/crates/jobs/src/relay/agent.rs
@@ -4,15 +4,15 @@
 
 use sandshelf_model::{Epoch, Millis};
 
-use super::desk::ANSWER_WITHIN_MS;
-use super::messages::{RelayFault, RelayMessage, RelayedAnswer, RelayedOrder, ShardSight};
+use super::dispatcher::ANSWER_WITHIN_MS;
+use super::messages::{RelayFault, RelayMessage, RelayedAnswer, RelayedOrder, ShardObservation};
 use super::way::QuickestWay;
 use crate::events::WorkerCall;
 use crate::reports::{OrderAnswer, RenewalAnswer};
 
 /// The orders that a host carries for the owner of one epoch; it ends with the connection to that owner.
 #[derive(Clone, Debug)]
-pub struct RelayStation {
+pub struct RelayAgent {
     epoch: Epoch,
     /// The newest order that was taken: an owner numbers them upwards.
     newest: u64,
@@ -21,7 +21,7 @@
     way: QuickestWay,
 }
 
-impl RelayStation {
+impl RelayAgent {
     /// Begins to serve the owner of an epoch.
     pub fn new(epoch: Epoch) -> Self {
         Self {
@@ -51,8 +51,8 @@
             RelayMessage::Orders(batch) => batch,
             RelayMessage::Answers(..)
             | RelayMessage::Leaves(_)
-            | RelayMessage::Asks(..)
-            | RelayMessage::Knows(..) => return Err(RelayFault::Misdirected),
+            | RelayMessage::ShardQuery(..)
+            | RelayMessage::ShardReply(..) => return Err(RelayFault::Misdirected),
         };
         if batch.epoch != self.epoch {
             return Err(RelayFault::OtherEpoch(batch.epoch));
@@ -90,20 +90,20 @@
     ///
     /// # Errors
     /// This station serves the owner of another epoch.
-    pub fn answer_question(
+    pub fn answer_query(
         &self,
         epoch: Epoch,
         number: u64,
-        sight: ShardSight,
+        sight: ShardObservation,
     ) -> Result<RelayMessage, RelayFault> {
         match epoch == self.epoch {
-            true => Ok(RelayMessage::Knows(epoch, number, sight)),
+            true => Ok(RelayMessage::ShardReply(epoch, number, sight)),
             false => Err(RelayFault::OtherEpoch(epoch)),
         }
     }
 
     /// A message that says only that this host lives.
-    pub fn beat(&self) -> RelayMessage {
+    pub fn heartbeat(&self) -> RelayMessage {
         RelayMessage::Answers(self.epoch, Vec::new())
     }
 
--- a/crates/jobs/src/relay/desk.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -6,10 +6,11 @@
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 
 use super::messages::{
-    OrderBatch, RelayFault, RelayGreeting, RelayMessage, RelayedAnswer, RelayedOrder, RELAY_VERSION,
+    OrderBatch, RelayFault, RelayHandshake, RelayMessage, RelayedAnswer, RelayedOrder,
+    RELAY_VERSION,
 };
+use super::quorum::OutageQuorum;
 use super::share::{calls_alone, RelayPlan, RelayShare};
-use super::witness::OutageWitness;
 use crate::events::{JobEvent, WorkerCall};
 use crate::ids::RunKey;
 use crate::reports::{OrderAnswer, RenewalAnswer};
@@ -45,7 +46,7 @@
 
 /// What a message of a relay, or the passing of time, leads to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RelayIntake {
+pub struct RelayOutcome {
     /// What the scheduler is to be told.
     pub events: Vec<JobEvent>,
     /// Relays that are lost; their connections are to be closed.
@@ -58,7 +59,7 @@
 
 /// An owner's figures of its relays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DeskFigures {
+pub struct DispatcherStats {
     /// Hosts that offer to carry orders.
     pub offered: usize,
     /// Those that carry some.
@@ -96,7 +97,7 @@
 
 /// The relays of an owner, for as long as it is one.
 #[derive(Clone, Debug)]
-pub struct RelayDesk {
+pub struct RelayDispatcher {
     pub(super) epoch: Epoch,
     processor_millis: u64,
     pub(super) relays: BTreeMap<RelayNumber, RelayState>,
@@ -112,10 +113,10 @@
     open: HashMap<u64, OpenOrder>,
     order_count: u64,
     looked_at: Millis,
-    pub(super) witness: OutageWitness,
+    pub(super) quorum: OutageQuorum,
 }
 
-impl RelayDesk {
+impl RelayDispatcher {
     /// Starts without relays, for an owner of an epoch that has so many thousandths of a core.
     pub fn new(epoch: Epoch, processor_millis: u64) -> Self {
         Self {
@@ -131,7 +132,7 @@
             open: HashMap::new(),
             order_count: 0,
             looked_at: 0,
-            witness: OutageWitness::default(),
+            quorum: OutageQuorum::default(),
         }
     }
 
@@ -151,19 +152,19 @@
     pub fn join(
         &mut self,
         now: Millis,
-        greeting: RelayGreeting,
+        handshake: RelayHandshake,
     ) -> Result<RelayNumber, RelayFault> {
-        if greeting.version != RELAY_VERSION {
-            return Err(RelayFault::OtherVersion(greeting.version));
+        if handshake.version != RELAY_VERSION {
+            return Err(RelayFault::OtherVersion(handshake.version));
         }
         self.relay_count += 1;
         let number = RelayNumber(self.relay_count);
         let state = RelayState {
             share: RelayShare {
                 relay: number,
-                host: greeting.host,
-                hall: greeting.hall,
-                processor_millis: greeting.processor_millis,
+                host: handshake.host,
+                hall: handshake.hall,
+                processor_millis: handshake.processor_millis,
             },
             last_heard: now,
             last_told: now,
@@ -171,7 +172,7 @@
             leaves: false,
         };
         let RelayShare { host, hall, .. } = &state.share;
-        self.witness.note_linked(host, hall);
+        self.quorum.note_linked(host, hall);
         self.relays.insert(number, state);
         self.forget_plan();
         Ok(number)
@@ -182,7 +183,7 @@
         let Some(gone) = self.relays.remove(&relay) else {
             return Vec::new();
         };
-        self.witness.note_unlinked(now, &gone.share.host);
+        self.quorum.note_unlinked(now, &gone.share.host);
         self.forget_plan();
         let lost = self.open.iter().filter(|(_, order)| order.relay == relay);
         let mut lost: Vec<u64> = lost.map(|(number, _)| *number).collect();
@@ -193,7 +194,7 @@
         lost.map(|order| order.unanswered()).collect()
     }
 
-    /// Chooses the way of an order; one that goes through a relay waits for [`RelayDesk::take_messages`].
+    /// Chooses the way of an order; one that goes through a relay waits for [`RelayDispatcher::take_messages`].
     pub fn route(
         &mut self,
         now: Millis,
@@ -256,19 +257,19 @@
 
     /// Takes in a relay's answers. Those to orders that it doesn't carry change nothing: they came too late, or another relay
     /// was given the order.
-    pub fn take(&mut self, now: Millis, relay: RelayNumber, message: RelayMessage) -> RelayIntake {
-        let mut intake = RelayIntake::default();
+    pub fn take(&mut self, now: Millis, relay: RelayNumber, message: RelayMessage) -> RelayOutcome {
+        let mut intake = RelayOutcome::default();
         let (epoch, answers, leaves) = match message {
             RelayMessage::Answers(epoch, answers) => (epoch, answers, false),
             RelayMessage::Leaves(epoch) => (epoch, Vec::new(), true),
-            RelayMessage::Knows(epoch, number, sight) => {
+            RelayMessage::ShardReply(epoch, number, sight) => {
                 if let Some(state) = self.relays.get(&relay).filter(|_| epoch == self.epoch) {
-                    self.witness.take(&state.share.host, number, sight);
+                    self.quorum.take(&state.share.host, number, sight);
                     intake.followed_by = Some(sight.epoch).filter(|seen| *seen > epoch);
                 }
                 (epoch, Vec::new(), false)
             }
-            RelayMessage::Orders(..) | RelayMessage::Asks(..) => {
+            RelayMessage::Orders(..) | RelayMessage::ShardQuery(..) => {
                 intake.faults.push(RelayFault::Misdirected);
                 return intake;
             }
@@ -310,8 +311,8 @@
     }
 
     /// Gives up relays that leave orders without an answer or say nothing, and asks quiet ones to say that they live.
-    pub fn tick(&mut self, now: Millis) -> RelayIntake {
-        let mut intake = RelayIntake::default();
+    pub fn tick(&mut self, now: Millis) -> RelayOutcome {
+        let mut intake = RelayOutcome::default();
         if now < self.looked_at + LOOK_EVERY_MS {
             return intake;
         }
@@ -348,7 +349,7 @@
     }
 
     /// The relays that are to be told that the owner lives, which they answer.
-    pub fn take_beats(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
+    pub fn take_heartbeats(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
         let epoch = self.epoch;
         let plan = self.plan.as_ref();
         let due = self.relays.iter_mut();
@@ -370,8 +371,8 @@
     }
 
     /// The figures by now.
-    pub fn figures(&self) -> DeskFigures {
-        DeskFigures {
+    pub fn stats(&self) -> DispatcherStats {
+        DispatcherStats {
             offered: self.relays.len(),
             in_use: self.plan.as_ref().map_or(0, RelayPlan::len),
             open: self.open.len(),
--- a/crates/jobs/src/relay/messages.rs
+++ b/crates/jobs/src/relay/messages.rs
@@ -19,7 +19,7 @@
 
 /// What a relay says first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayGreeting {
+pub struct RelayHandshake {
     /// The version that it speaks; stays the first field of every version.
     pub version: u16,
     /// The host.
@@ -30,7 +30,7 @@
     pub processor_millis: u64,
 }
 
-impl RelayGreeting {
+impl RelayHandshake {
     /// A greeting in this version.
     pub fn new(host: HostId, hall: HallId, processor_millis: u64) -> Self {
         Self {
@@ -66,7 +66,7 @@
 
 impl RelayedAnswer {
     /// Notes by how much longer than asked the call took here.
-    pub fn came_late(&mut self, late_ms: Millis) {
+    pub fn note_carrier_delay(&mut self, late_ms: Millis) {
         if let RelayedAnswer::Renewal(RenewalAnswer::Report(report)) = self {
             report.carrier_late_ms = late_ms;
         }
@@ -117,14 +117,14 @@
     /// A relay is about to stop: it carries out what it was given, and is to be given no more.
     Leaves(Epoch),
     /// An owner that can't renew its ownership asks what a host knows of the shard, by a question of this number.
-    Asks(Epoch, u64),
+    ShardQuery(Epoch, u64),
     /// What a host knew of the shard when that question came.
-    Knows(Epoch, u64, ShardSight),
+    ShardReply(Epoch, u64, ShardObservation),
 }
 
 /// What a host that is not the owner knows of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardSight {
+pub struct ShardObservation {
     /// The newest epoch that it has seen.
     pub epoch: Epoch,
     /// How long it certainly doesn't claim the shard from now on, in milliseconds.
@@ -169,15 +169,15 @@
 impl std::error::Error for RelayFault {}
 
 /// Encodes a greeting.
-pub fn encode_greeting(greeting: &RelayGreeting) -> Vec<u8> {
-    postcard::to_stdvec(greeting).expect("plain structures always encode")
+pub fn encode_handshake(handshake: &RelayHandshake) -> Vec<u8> {
+    postcard::to_stdvec(handshake).expect("plain structures always encode")
 }
 
 /// Decodes a greeting; one of another version is told apart before the rest of it is read.
 ///
 /// # Errors
 /// Another version, or no greeting at all.
-pub fn decode_greeting(bytes: &[u8]) -> Result<RelayGreeting, RelayFault> {
+pub fn decode_handshake(bytes: &[u8]) -> Result<RelayHandshake, RelayFault> {
     let (version, _) =
         postcard::take_from_bytes::<u16>(bytes).map_err(|_| RelayFault::Unreadable)?;
     if version != RELAY_VERSION {
--- a/crates/jobs/src/relay/mod.rs
+++ b/crates/jobs/src/relay/mod.rs
@@ -10,43 +10,43 @@
 //! brings them.
 //!
 //! ```
-//! use sandshelf_jobs::relay::{OrderRoute, RelayDesk, RelayGreeting, RelayStation};
+//! use sandshelf_jobs::relay::{OrderRoute, RelayDispatcher, RelayHandshake, RelayAgent};
 //! use sandshelf_jobs::{RenewalAnswer, RenewalCall, OrderAnswer, WorkerCall};
 //! use sandshelf_model::{HallId, HostId, WorkerId};
 //!
 //! // An owner with a tenth of a core and 100 workers needs help.
-//! let mut desk = RelayDesk::new(7, 100);
-//! desk.note_workers((0..100).map(|number| (WorkerId::from(format!("w-{number}")), HallId::from("north"))));
-//! let greeting = RelayGreeting::new(HostId::from("entry-2"), HallId::from("north"), 500);
-//! let relay = desk.join(0, greeting).expect("the same version");
+//! let mut dispatcher = RelayDispatcher::new(7, 100);
+//! dispatcher.note_workers((0..100).map(|number| (WorkerId::from(format!("w-{number}")), HallId::from("north"))));
+//! let handshake = RelayHandshake::new(HostId::from("entry-2"), HallId::from("north"), 500);
+//! let relay = dispatcher.join(0, handshake).expect("the same version");
 //!
 //! let worker = WorkerId::from("w-1");
 //! let call = WorkerCall::Renew(RenewalCall { deadline: None, last_seen: 0, wait_ms: 0 });
 //! let address = ([10, 0, 0, 1], 80).into();
-//! assert_eq!(desk.route(0, &worker, address, call), OrderRoute::Relayed(relay));
+//! assert_eq!(dispatcher.route(0, &worker, address, call), OrderRoute::Relayed(relay));
 //!
 //! // What the relay does with it.
-//! let mut station = RelayStation::new(7);
-//! let (_, message) = desk.take_messages(0).pop().expect("one message");
-//! let orders = station.take(0, message).expect("orders of this epoch");
-//! station.finish(orders[0].number, RenewalAnswer::Failed(OrderAnswer::Unreachable).into());
+//! let mut agent = RelayAgent::new(7);
+//! let (_, message) = dispatcher.take_messages(0).pop().expect("one message");
+//! let orders = agent.take(0, message).expect("orders of this epoch");
+//! agent.finish(orders[0].number, RenewalAnswer::Failed(OrderAnswer::Unreachable).into());
 //!
-//! let answers = station.take_answers().expect("an answer");
-//! assert_eq!(desk.take(5, relay, answers).events.len(), 1);
+//! let answers = agent.take_answers().expect("an answer");
+//! assert_eq!(dispatcher.take(5, relay, answers).events.len(), 1);
 //! ```
 
-mod desk;
+mod agent;
+mod dispatcher;
 mod messages;
+mod quorum;
 mod share;
-mod station;
 mod way;
-mod witness;
 
-pub use desk::{DeskFigures, OrderRoute, RelayDesk, RelayIntake, RelayNumber};
+pub use agent::RelayAgent;
+pub use dispatcher::{DispatcherStats, OrderRoute, RelayDispatcher, RelayNumber, RelayOutcome};
 pub use messages::{
-    decode_greeting, decode_message, encode_greeting, encode_message, OrderBatch, RelayFault,
-    RelayGreeting, RelayMessage, RelayedAnswer, RelayedOrder, ShardSight, LARGEST_MESSAGE_BYTES,
-    RELAY_VERSION,
+    decode_handshake, decode_message, encode_handshake, encode_message, OrderBatch, RelayFault,
+    RelayHandshake, RelayMessage, RelayedAnswer, RelayedOrder, ShardObservation,
+    LARGEST_MESSAGE_BYTES, RELAY_VERSION,
 };
 pub use share::waits_for_relays;
-pub use station::RelayStation;
--- a/crates/jobs/src/relay/witness.rs
+++ b/crates/jobs/src/relay/quorum.rs
@@ -12,8 +12,8 @@
 
 use sandshelf_model::{HallId, HostId, Millis};
 
-use super::desk::{RelayDesk, RelayNumber};
-use super::messages::{RelayMessage, ShardSight};
+use super::dispatcher::{RelayDispatcher, RelayNumber};
+use super::messages::{RelayMessage, ShardObservation};
 
 /// A host of another version connects time and again; while it does, nobody knows what it would say.
 const REFUSED_FOR_MS: Millis = 5_000;
@@ -24,7 +24,7 @@
 
 /// One host that is connected with the owner, or was when the owner last renewed.
 #[derive(Clone, Debug)]
-struct WitnessSeat {
+struct QuorumMember {
     hall: HallId,
     /// Since when its connection has been gone.
     unlinked_at: Option<Millis>,
@@ -34,8 +34,8 @@
 
 /// The hosts that an owner asks, and what they have said.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OutageWitness {
-    seats: BTreeMap<HostId, WitnessSeat>,
+pub(super) struct OutageQuorum {
+    seats: BTreeMap<HostId, QuorumMember>,
     /// Before when nobody claims the shard by the owner's newest renewal.
     renewed_until: Millis,
     /// When each of the newest questions was asked.
@@ -44,10 +44,10 @@
     refused_at: Option<Millis>,
 }
 
-impl OutageWitness {
+impl OutageQuorum {
     pub(super) fn note_linked(&mut self, host: &HostId, hall: &HallId) {
         let seat = self.seats.entry(host.clone());
-        let seat = seat.or_insert_with(|| WitnessSeat {
+        let seat = seat.or_insert_with(|| QuorumMember {
             hall: hall.clone(),
             unlinked_at: None,
             free_until: 0,
@@ -69,7 +69,7 @@
     /// connections ended before that renewal are forgotten.
     pub(super) fn ask(&mut self, now: Millis, renewed_at: Millis, renewed_until: Millis) -> u64 {
         self.renewed_until = renewed_until;
-        let lately = |seat: &WitnessSeat| seat.unlinked_at.is_none_or(|at| at >= renewed_at);
+        let lately = |seat: &QuorumMember| seat.unlinked_at.is_none_or(|at| at >= renewed_at);
         self.seats.retain(|_, seat| lately(seat));
         self.question_count += 1;
         self.asked.insert(self.question_count, now);
@@ -80,7 +80,7 @@
     }
 
     /// Takes in a host's answer to a question.
-    pub(super) fn take(&mut self, host: &HostId, number: u64, sight: ShardSight) {
+    pub(super) fn take(&mut self, host: &HostId, number: u64, sight: ShardObservation) {
         let (Some(seat), Some(asked)) = (self.seats.get_mut(host), self.asked.get(&number)) else {
             return;
         };
@@ -92,7 +92,7 @@
     }
 
     /// Before when no host claims the shard, as far as half of the hosts of each hall say.
-    pub(super) fn vouched_until<'a>(
+    pub(super) fn unclaimed_until<'a>(
         &'a self,
         now: Millis,
         own_hall: &HallId,
@@ -122,7 +122,7 @@
     }
 }
 
-impl RelayDesk {
+impl RelayDispatcher {
     /// Asks all relays what they know of the shard, for an owner that renewed last at `renewed_at`, by which nobody claims the shard before
     /// `renewed_until`.
     pub fn ask(
@@ -131,21 +131,21 @@
         renewed_at: Millis,
         renewed_until: Millis,
     ) -> Vec<(RelayNumber, RelayMessage)> {
-        let number = self.witness.ask(now, renewed_at, renewed_until);
+        let number = self.quorum.ask(now, renewed_at, renewed_until);
         let relays = self.relays.keys();
-        let ask = |relay: &RelayNumber| (*relay, RelayMessage::Asks(self.epoch, number));
+        let ask = |relay: &RelayNumber| (*relay, RelayMessage::ShardQuery(self.epoch, number));
         relays.map(ask).collect()
     }
 
     /// Before when none of the hosts that answer claims the shard, where enough of them do, in each hall with workers; the owner
     /// itself stands in `own_hall`.
-    pub fn vouched_until(&self, now: Millis, own_hall: &HallId) -> Option<Millis> {
+    pub fn unclaimed_until(&self, now: Millis, own_hall: &HallId) -> Option<Millis> {
         let halls: BTreeSet<&HallId> = self.halls.values().collect();
-        self.witness.vouched_until(now, own_hall, halls)
+        self.quorum.unclaimed_until(now, own_hall, halls)
     }
 
     /// Notes that a host could not be taken in since it speaks another version: nobody hears what it would say.
     pub fn note_refused(&mut self, now: Millis) {
-        self.witness.note_refused(now);
+        self.quorum.note_refused(now);
     }
 }
--- a/crates/jobs/src/relay/share.rs
+++ b/crates/jobs/src/relay/share.rs
@@ -6,8 +6,8 @@
 
 use sandshelf_model::{HallId, HostId, Millis, WorkerId};
 
-use super::desk::RelayNumber;
-use super::messages::RelayGreeting;
+use super::dispatcher::RelayNumber;
+use super::messages::RelayHandshake;
 
 /// How many workers an owner calls by itself, for each thousandth of a core that it has, in hundredths: looks at a worker and its
 /// orders cost it 0.45 thousandths of a core (2,750 calls a second for 890 workers, 130 us each, on the users' platform), and a
@@ -30,7 +30,7 @@
 pub fn waits_for_relays<'a>(
     processor_millis: u64,
     workers: usize,
-    offers: impl Iterator<Item = &'a RelayGreeting>,
+    offers: impl Iterator<Item = &'a RelayHandshake>,
 ) -> bool {
     let alone_ms = workers as u64 * FIRST_CALL_MICROS / processor_millis.max(1);
     let room: usize = offers.map(|offer| room_of(offer.processor_millis)).sum();
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use sandshelf_jobs::relay::{
-    decode_greeting, decode_message, encode_greeting, encode_message, waits_for_relays, RelayDesk,
-    RelayFault, RelayMessage,
+    decode_handshake, decode_message, encode_handshake, encode_message, waits_for_relays,
+    RelayDispatcher, RelayFault, RelayMessage,
 };
 use sandshelf_jobs::{JobEvent, OrderAnswer, RenewalAnswer, RenewalCall, StartCall, WorkerCall};
 use sandshelf_model::WorkerId;
@@ -19,7 +19,7 @@
     }
     let relayed = (0..66).filter_map(|number| route(&mut desk, 0, number, hold()));
     assert_eq!(relayed.count(), 0);
-    assert_eq!(desk.figures().in_use, 0);
+    assert_eq!(desk.stats().in_use, 0);
 }
 
 fn without_relays_all_is_called_directly() {
@@ -46,7 +46,7 @@
             join(&mut desk, &format!("h-{host:02}"), host, processor_millis);
         }
         route(&mut desk, 0, 0, hold());
-        desk.figures().in_use
+        desk.stats().in_use
     };
     assert_eq!((in_use(STRONG), in_use(WEAK)), (4, 18));
 }
@@ -128,7 +128,7 @@
 fn a_silent_relay_is_lost() {
     let mut desk = desk(STRONG, 400);
     let relay = join(&mut desk, "a", 0, STRONG);
-    let asked = desk.take_beats(2_000);
+    let asked = desk.take_heartbeats(2_000);
     assert_eq!(asked, [(relay, orders_of(EPOCH, 2_000))]);
     desk.take(5_900, relay, answers(Vec::new()));
     assert_eq!(desk.tick(6_100).lost, []);
@@ -215,9 +215,9 @@
 fn other_versions_are_told_apart() {
     let mut other = greeting("a", 0, STRONG);
     other.version += 1;
-    let bytes = encode_greeting(&other);
+    let bytes = encode_handshake(&other);
     let refused = Err(RelayFault::OtherVersion(other.version));
-    assert_eq!(decode_greeting(&bytes), refused);
+    assert_eq!(decode_handshake(&bytes), refused);
     let mut desk = desk(STRONG, 400);
     assert_eq!(
         desk.join(0, other.clone()),
@@ -227,7 +227,7 @@
 
 /// Ten holds in one message, with names as long as the platform's: a call of its own takes 240 bytes and more.
 fn a_hold_takes_few_bytes() {
-    let mut desk = RelayDesk::new(EPOCH, WEAK);
+    let mut desk = RelayDispatcher::new(EPOCH, WEAK);
     let name = |number: usize| WorkerId::from(format!("i-{number:010x}"));
     desk.note_workers((0..890).map(|number| (name(number), hall(number))));
     join(&mut desk, "a", 0, STRONG);
@@ -236,7 +236,7 @@
         last_seen: 157,
         wait_ms: 500,
     });
-    let bytes = |holds: usize, desk: &mut RelayDesk| {
+    let bytes = |holds: usize, desk: &mut RelayDispatcher| {
         for number in 0..holds {
             desk.route(
                 0,
@@ -288,7 +288,7 @@
 
     #[test]
     fn no_bytes_make_a_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let _ = decode_greeting(&bytes);
+        let _ = decode_handshake(&bytes);
         if let Ok(message) = decode_message(&bytes) {
             prop_assert_eq!(decode_message(&encode_message(&message)), Ok(message));
         }
--- a/crates/jobs/tests/relay_explored.rs
+++ b/crates/jobs/tests/relay_explored.rs
@@ -2,8 +2,8 @@
 //! that have to be found.
 
 use sandshelf_jobs::relay::{
-    decode_message, encode_message, OrderRoute, RelayDesk, RelayGreeting, RelayMessage,
-    RelayNumber, RelayStation, RelayedAnswer, RelayedOrder,
+    decode_message, encode_message, OrderRoute, RelayAgent, RelayDispatcher, RelayHandshake,
+    RelayMessage, RelayNumber, RelayedAnswer, RelayedOrder,
 };
 use sandshelf_jobs::WorkerCall;
 use sandshelf_jobs::{JobEvent, JobNumber, OrderAnswer, RefusalReason, RunKey, StartCall, TaskKey};
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 struct ModelLink {
     relay: RelayNumber,
-    station: RelayStation,
+    station: RelayAgent,
     to_relay: Vec<RelayMessage>,
     carried: Vec<RelayedOrder>,
     to_owner: Vec<RelayMessage>,
@@ -65,7 +65,7 @@
 #[derive(Clone)]
 struct ModelOwner {
     epoch: Epoch,
-    desk: RelayDesk,
+    desk: RelayDispatcher,
     links: Vec<ModelLink>,
     /// For each order that was given: the worker, the run, and what was told of it.
     given: Vec<(usize, RunKey, Vec<OrderAnswer>)>,
@@ -107,14 +107,14 @@
 
 impl ModelOwner {
     fn new(epoch: Epoch) -> Self {
-        let mut desk = RelayDesk::new(epoch, 100);
+        let mut desk = RelayDispatcher::new(epoch, 100);
         let places = (0..OTHERS).map(|number| (worker(number), HallId::from(HALLS[number % 2])));
         desk.note_workers(places);
         let links = HALLS.map(|hall| {
-            let greeting = RelayGreeting::new(HostId::from(hall), HallId::from(hall), 500);
+            let greeting = RelayHandshake::new(HostId::from(hall), HallId::from(hall), 500);
             ModelLink {
                 relay: desk.join(0, greeting).expect("the same version"),
-                station: RelayStation::new(epoch),
+                station: RelayAgent::new(epoch),
                 to_relay: Vec::new(),
                 carried: Vec::new(),
                 to_owner: Vec::new(),
--- a/crates/jobs/tests/relay_station.rs
+++ b/crates/jobs/tests/relay_station.rs
@@ -2,14 +2,14 @@
 
 mod support;
 
-use sandshelf_jobs::relay::{OrderBatch, RelayFault, RelayMessage, RelayStation, RelayedOrder};
+use sandshelf_jobs::relay::{OrderBatch, RelayAgent, RelayFault, RelayMessage, RelayedOrder};
 use sandshelf_jobs::OrderAnswer;
 use sandshelf_model::Millis;
 use support::relaying::{answers, desk, join, orders_of, route, start, worker, EPOCH, STRONG};
 
 /// Orders of an epoch that is over are not carried out, whoever sends them.
 fn a_station_refuses_other_epochs() {
-    let mut station = RelayStation::new(EPOCH);
+    let mut station = RelayAgent::new(EPOCH);
     for epoch in [EPOCH - 1, EPOCH + 1] {
         let refused = station.take(0, orders_of(epoch, 0));
         assert_eq!(refused, Err(RelayFault::OtherEpoch(epoch)));
@@ -23,7 +23,7 @@
 fn a_station_drops_what_comes_late(apart: Millis, late: Millis, carried: bool) {
     let mut desk = desk(STRONG, 400);
     join(&mut desk, "a", 0, STRONG);
-    let mut station = RelayStation::new(EPOCH);
+    let mut station = RelayAgent::new(EPOCH);
     let quick = station.take(apart + 5, orders_of(EPOCH, 0));
     assert_eq!(quick, Ok(Vec::new()));
     route(&mut desk, 4_000, 0, start(1));
@@ -36,7 +36,7 @@
 
 /// A way that has become slower for good counts as quick some time later.
 fn a_slow_way_becomes_the_usual_one() {
-    let mut station = RelayStation::new(EPOCH);
+    let mut station = RelayAgent::new(EPOCH);
     let mut carried = Vec::new();
     for second in 0..30_u64 {
         let way = if second < 5 { 1 } else { 2_000 };
@@ -65,7 +65,7 @@
     join(&mut desk, "a", 0, STRONG);
     route(&mut desk, 0, 0, start(1));
     let (_, message) = desk.take_messages(0).pop().expect("orders");
-    let mut station = RelayStation::new(EPOCH);
+    let mut station = RelayAgent::new(EPOCH);
     let again = message.clone();
     assert_eq!(
         station.take(0, message.clone()).map(|orders| orders.len()),
--- a/crates/jobs/tests/support/relaying.rs
+++ b/crates/jobs/tests/support/relaying.rs
@@ -1,7 +1,8 @@
 //! An owner of many workers in two halls, hosts that carry its orders, and what passes between them.
 
 use sandshelf_jobs::relay::{
-    OrderBatch, OrderRoute, RelayDesk, RelayGreeting, RelayMessage, RelayNumber, RelayedAnswer,
+    OrderBatch, OrderRoute, RelayDispatcher, RelayHandshake, RelayMessage, RelayNumber,
+    RelayedAnswer,
 };
 use sandshelf_jobs::{
     JobNumber, RenewalAnswer, RenewalCall, RenewalReport, RunKey, StartCall, TaskKey, WorkerCall,
@@ -26,20 +27,20 @@
 }
 
 /// An owner of so many workers in two halls.
-pub fn desk(processor_millis: u64, workers: usize) -> RelayDesk {
-    let mut desk = RelayDesk::new(EPOCH, processor_millis);
+pub fn desk(processor_millis: u64, workers: usize) -> RelayDispatcher {
+    let mut desk = RelayDispatcher::new(EPOCH, processor_millis);
     desk.note_workers((0..workers).map(|number| (worker(number), hall(number))));
     desk
 }
 
 /// What a host says as it joins.
-pub fn greeting(host: &str, hall_number: usize, processor_millis: u64) -> RelayGreeting {
-    RelayGreeting::new(HostId::from(host), hall(hall_number), processor_millis)
+pub fn greeting(host: &str, hall_number: usize, processor_millis: u64) -> RelayHandshake {
+    RelayHandshake::new(HostId::from(host), hall(hall_number), processor_millis)
 }
 
 /// A host joins; returns how the owner calls it.
 pub fn join(
-    desk: &mut RelayDesk,
+    desk: &mut RelayDispatcher,
     host: &str,
     hall_number: usize,
     processor_millis: u64,
@@ -82,7 +83,7 @@
 
 /// Gives an owner a call to make; returns which host carries it, if one does.
 pub fn route(
-    desk: &mut RelayDesk,
+    desk: &mut RelayDispatcher,
     now: Millis,
     number: usize,
     call: WorkerCall,
--- a/crates/jobs/tests/tenure.rs
+++ b/crates/jobs/tests/tenure.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use sandshelf_jobs::relay::{RelayDesk, RelayGreeting, RelayMessage, RelayNumber, ShardSight};
+use sandshelf_jobs::relay::{
+    RelayDispatcher, RelayHandshake, RelayMessage, RelayNumber, ShardObservation,
+};
 use sandshelf_jobs::{JobEvent, RunKey, StepSpec};
 use sandshelf_model::{HallId, HostId, Millis, WorkerId};
 use support::{job, runs, step, SchedulerRig};
@@ -80,15 +82,15 @@
 }
 
 /// An owner in the first hall with so many hosts linked in each, and a worker in each.
-fn desk(hosts_a_hall: usize) -> (RelayDesk, Vec<RelayNumber>) {
-    let mut desk = RelayDesk::new(EPOCH, 500);
+fn desk(hosts_a_hall: usize) -> (RelayDispatcher, Vec<RelayNumber>) {
+    let mut desk = RelayDispatcher::new(EPOCH, 500);
     let workers = HALLS.map(|hall| (WorkerId::from(format!("w-{hall}")), HallId::from(hall)));
     desk.note_workers(workers);
     let mut relays = Vec::new();
     for hall in HALLS {
         for number in 0..hosts_a_hall {
             let host = HostId::from(format!("{hall}-{number}"));
-            let greeting = RelayGreeting::new(host, HallId::from(hall), 120);
+            let greeting = RelayHandshake::new(host, HallId::from(hall), 120);
             relays.push(desk.join(0, greeting).expect("the same version"));
         }
     }
@@ -96,8 +98,8 @@
 }
 
 /// Asks all hosts; those named answer that they see no row.
-fn ask(desk: &mut RelayDesk, now: Millis, answering: &[RelayNumber]) -> Option<u64> {
-    let sight = ShardSight {
+fn ask(desk: &mut RelayDispatcher, now: Millis, answering: &[RelayNumber]) -> Option<u64> {
+    let sight = ShardObservation {
         epoch: EPOCH,
         claims_after_ms: LEASE_MS,
     };
@@ -105,18 +107,18 @@
 }
 
 fn ask_for(
-    desk: &mut RelayDesk,
+    desk: &mut RelayDispatcher,
     now: Millis,
     answering: &[RelayNumber],
-    sight: ShardSight,
+    sight: ShardObservation,
 ) -> Option<u64> {
     let mut followed_by = None;
     for (relay, question) in desk.ask(now, 0, LEASE_MS) {
-        let RelayMessage::Asks(EPOCH, number) = question else {
+        let RelayMessage::ShardQuery(EPOCH, number) = question else {
             panic!("{question:?} is no question");
         };
         if answering.contains(&relay) {
-            let answer = RelayMessage::Knows(EPOCH, number, sight);
+            let answer = RelayMessage::ShardReply(EPOCH, number, sight);
             let intake = desk.take(now + 5, relay, answer);
             assert_eq!(intake.faults, []);
             followed_by = followed_by.max(intake.followed_by);
@@ -125,8 +127,8 @@
     followed_by
 }
 
-fn vouched(desk: &RelayDesk, now: Millis) -> Option<Millis> {
-    desk.vouched_until(now, &HallId::from(HALLS[0]))
+fn vouched(desk: &RelayDispatcher, now: Millis) -> Option<Millis> {
+    desk.unclaimed_until(now, &HallId::from(HALLS[0]))
 }
 
 /// Where all hosts are without the store nobody claims, as long as they go on saying so.
@@ -153,30 +155,30 @@
     let (mut desk, relays) = desk(1);
     desk.leave(0, relays[0]);
     for (relay, question) in desk.ask(600, 100, 100 + LEASE_MS) {
-        let RelayMessage::Asks(epoch, number) = question else {
+        let RelayMessage::ShardQuery(epoch, number) = question else {
             panic!("{question:?} is no question");
         };
-        let sight = ShardSight {
+        let sight = ShardObservation {
             epoch,
             claims_after_ms: LEASE_MS,
         };
-        desk.take(605, relay, RelayMessage::Knows(epoch, number, sight));
+        desk.take(605, relay, RelayMessage::ShardReply(epoch, number, sight));
     }
     assert_eq!(vouched(&desk, 610), Some(600 + LEASE_MS));
 }
 
 /// An owner that knows of no other host, in the hall of all workers, has its own word only, which is no longer than another's.
 fn an_owner_that_is_alone_goes_on() {
-    let mut desk = RelayDesk::new(EPOCH, 500);
+    let mut desk = RelayDispatcher::new(EPOCH, 500);
     desk.note_workers([(WorkerId::from("w-1"), HallId::from(HALLS[0]))]);
     assert_eq!(vouched(&desk, 5_000), Some(5_000 + LEASE_MS));
 }
 
 /// One other host in the owner's hall, which doesn't answer, may have claimed.
 fn an_owner_has_no_voice_beside_another() {
-    let mut desk = RelayDesk::new(EPOCH, 500);
+    let mut desk = RelayDispatcher::new(EPOCH, 500);
     desk.note_workers([(WorkerId::from("w-1"), HallId::from(HALLS[0]))]);
-    let greeting = RelayGreeting::new(HostId::from("north-0"), HallId::from(HALLS[0]), 120);
+    let greeting = RelayHandshake::new(HostId::from("north-0"), HallId::from(HALLS[0]), 120);
     desk.join(0, greeting).expect("the same version");
     ask(&mut desk, 600, &[]);
     assert_eq!(vouched(&desk, 610), Some(0));
@@ -202,13 +204,13 @@
 /// A host that sees the owner's row may claim soon; one that has seen a newer epoch says that the owner has been followed.
 fn hosts_with_the_store_say_so() {
     let (mut desk, relays) = desk(3);
-    let sight = ShardSight {
+    let sight = ShardObservation {
         epoch: EPOCH,
         claims_after_ms: 0,
     };
     assert_eq!(ask_for(&mut desk, 600, &relays, sight), None);
     assert_eq!(vouched(&desk, 610), Some(LEASE_MS));
-    let sight = ShardSight {
+    let sight = ShardObservation {
         epoch: EPOCH + 1,
         claims_after_ms: 0,
     };
@@ -233,14 +235,14 @@
         desk.leave(left_at, *relay);
     }
     for (relay, question) in desk.ask(1_600, 1_000, 1_000 + LEASE_MS) {
-        let RelayMessage::Asks(epoch, number) = question else {
+        let RelayMessage::ShardQuery(epoch, number) = question else {
             panic!("{question:?} is no question");
         };
-        let sight = ShardSight {
+        let sight = ShardObservation {
             epoch: EPOCH,
             claims_after_ms: LEASE_MS,
         };
-        desk.take(1_605, relay, RelayMessage::Knows(epoch, number, sight));
+        desk.take(1_605, relay, RelayMessage::ShardReply(epoch, number, sight));
     }
     let until = vouched(&desk, 1_610);
     assert_eq!(until == Some(1_600 + LEASE_MS), enough);
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -1,7 +1,9 @@
 //! Every order, up to a depth, in which the store is out and a hall is cut off one way or both, for an owner and two other hosts: whether the owner
 //! is ever sure for longer than a successor waits.
 
-use sandshelf_jobs::relay::{RelayDesk, RelayGreeting, RelayMessage, RelayNumber, ShardSight};
+use sandshelf_jobs::relay::{
+    RelayDispatcher, RelayHandshake, RelayMessage, RelayNumber, ShardObservation,
+};
 use sandshelf_jobs::OwnerTenure;
 use sandshelf_lease::{LeaseTimes, ShardLease, ShardRow, StoredRow};
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
@@ -58,7 +60,7 @@
     near: bool,
     /// Questions and answers on their way, with when each arrives at the earliest.
     questions: Vec<(Millis, u64)>,
-    answers: Vec<(Millis, u64, ShardSight)>,
+    answers: Vec<(Millis, u64, ShardObservation)>,
     troubled: bool,
 }
 
@@ -72,7 +74,7 @@
     tenure: OwnerTenure,
     renewed_at: Millis,
     owns: bool,
-    desk: RelayDesk,
+    desk: RelayDispatcher,
     others: Vec<OtherHost>,
 }
 
@@ -87,12 +89,12 @@
             epoch: EPOCH,
             ..ShardRow::default()
         };
-        let mut desk = RelayDesk::new(EPOCH, 500);
+        let mut desk = RelayDispatcher::new(EPOCH, 500);
         let workers = [true, false].map(|near| (WorkerId::from(format!("w-{near}")), hall(near)));
         desk.note_workers(workers);
         let others = [true, false].map(|near| {
             let host = HostId::from(format!("other-{near}"));
-            let greeting = RelayGreeting::new(host.clone(), hall(near), 120);
+            let greeting = RelayHandshake::new(host.clone(), hall(near), 120);
             OtherHost {
                 lease: ShardLease::new(host, LeaseTimes::derive(SHARD_LEASE_MS, 4_000, 60_000)),
                 relay: desk.join(0, greeting).expect("the same version"),
@@ -184,7 +186,7 @@
         }
         let until = self.renewed_at + SHARD_LEASE_MS;
         for (relay, question) in self.desk.ask(self.now, self.renewed_at, until) {
-            let RelayMessage::Asks(_, number) = question else {
+            let RelayMessage::ShardQuery(_, number) = question else {
                 panic!("{question:?} is no question");
             };
             let other = self.others.iter_mut().find(|other| other.relay == relay);
@@ -207,7 +209,7 @@
                         PlantedFault::HostsPromiseFalsely => SHARD_LEASE_MS,
                         _ => other.lease.claims_after(self.now),
                     };
-                    let sight = ShardSight {
+                    let sight = ShardObservation {
                         epoch: other.lease.newest_epoch(),
                         claims_after_ms,
                     };
@@ -216,7 +218,7 @@
             }
             if other.near || back {
                 for (_, number, sight) in std::mem::take(&mut other.answers) {
-                    let answer = RelayMessage::Knows(EPOCH, number, sight);
+                    let answer = RelayMessage::ShardReply(EPOCH, number, sight);
                     let intake = self.desk.take(self.now, other.relay, answer);
                     self.owns &= intake.followed_by.is_none();
                 }
@@ -224,7 +226,7 @@
         }
         let vouched = match self.fault {
             PlantedFault::AnyHostVouches => Some(self.now + SHARD_LEASE_MS),
-            _ => self.desk.vouched_until(self.now, &hall(true)),
+            _ => self.desk.unclaimed_until(self.now, &hall(true)),
         };
         if let Some(until) = vouched.filter(|_| self.now >= self.renewed_at + ASK_AFTER_MS) {
             self.tenure.note_vouched(until);
--- a/crates/sandshelfd/src/jobs/meters.rs
+++ b/crates/sandshelfd/src/jobs/meters.rs
@@ -7,7 +7,7 @@
 use metrics::{counter, gauge, histogram};
 use rocket::http::{Method, Status};
 use sandshelf_adapter::StoreFault;
-use sandshelf_jobs::relay::{DeskFigures, RelayFault};
+use sandshelf_jobs::relay::{DispatcherStats, RelayFault};
 use sandshelf_jobs::{JobEvent, JobNote, JobStage, OrderAnswer, RenewalAnswer, SchedulerCounts};
 
 use crate::jobs::notes::label;
@@ -213,7 +213,7 @@
 }
 
 /// Shows how many hosts offer to carry an owner's orders, how many carry some, and how many orders are under way there.
-pub fn show_relays(figures: &DeskFigures) {
+pub fn show_relays(figures: &DispatcherStats) {
     gauge!("sandshelf_relays_offered").set(figures.offered as f64);
     gauge!("sandshelf_relays_in_use").set(figures.in_use as f64);
     gauge!("sandshelf_relayed_orders_open").set(figures.open as f64);
--- a/crates/sandshelfd/src/jobs/notes.rs
+++ b/crates/sandshelfd/src/jobs/notes.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{Debug, Display};
 
-use sandshelf_jobs::relay::DeskFigures;
+use sandshelf_jobs::relay::DispatcherStats;
 use sandshelf_jobs::{JobNote, SchedulerCounts};
 use sandshelf_model::{Epoch, HostId};
 
@@ -249,7 +249,7 @@
 }
 
 /// Logs an owner's figures: how much it has to do and how busy its workers are.
-pub fn log_load(epoch: Epoch, counts: &SchedulerCounts, relays: &DeskFigures) {
+pub fn log_load(epoch: Epoch, counts: &SchedulerCounts, relays: &DispatcherStats) {
     event(
         "owner_load",
         &[
--- a/crates/sandshelfd/src/jobs/owner/carry.rs
+++ b/crates/sandshelfd/src/jobs/owner/carry.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use sandshelf_config::JobSettings;
 use sandshelf_jobs::relay::{
-    DeskFigures, OrderRoute, RelayDesk, RelayGreeting, RelayIntake, RelayMessage,
+    DispatcherStats, OrderRoute, RelayDispatcher, RelayHandshake, RelayMessage, RelayOutcome,
 };
 use sandshelf_jobs::{JobEvent, JobNote, WorkerCall, WorkerRoster};
 use sandshelf_lease::{LeaseStage, ShardRow};
@@ -22,11 +22,11 @@
 use crate::logging::event;
 
 /// Hosts that offer to carry orders, by connection.
-pub(super) type RelayOffers = BTreeMap<LinkNumber, (RelayGreeting, UnboundedSender<Bytes>)>;
+pub(super) type RelayOffers = BTreeMap<LinkNumber, (RelayHandshake, UnboundedSender<Bytes>)>;
 
 /// The relays of a shard that this host owns.
 pub(super) struct RelayPool {
-    desk: RelayDesk,
+    desk: RelayDispatcher,
     links: RelayLinks,
     /// The epoch of an owner that has followed, where a host has seen one.
     pub(super) followed_by: Option<Epoch>,
@@ -42,7 +42,7 @@
         offers: RelayOffers,
     ) -> Self {
         let mut pool = Self {
-            desk: RelayDesk::new(epoch, settings.processor_millis),
+            desk: RelayDispatcher::new(epoch, settings.processor_millis),
             links: RelayLinks::default(),
             followed_by: None,
         };
@@ -55,8 +55,8 @@
         pool
     }
 
-    pub(super) fn figures(&self) -> DeskFigures {
-        self.desk.figures()
+    pub(super) fn figures(&self) -> DispatcherStats {
+        self.desk.stats()
     }
 
     /// Notes the workers of lists among these events.
@@ -88,7 +88,7 @@
         &mut self,
         now: Millis,
         link: LinkNumber,
-        greeting: RelayGreeting,
+        greeting: RelayHandshake,
         outbox: UnboundedSender<Bytes>,
     ) -> Vec<JobEvent> {
         let host = greeting.host.clone();
@@ -128,13 +128,13 @@
 
     fn tick(&mut self, now: Millis) -> Vec<JobEvent> {
         let intake = self.desk.tick(now);
-        for (relay, beat) in self.desk.take_beats(now) {
+        for (relay, beat) in self.desk.take_heartbeats(now) {
             self.links.send(relay, &beat);
         }
         self.finish_intake(intake)
     }
 
-    fn finish_intake(&mut self, intake: RelayIntake) -> Vec<JobEvent> {
+    fn finish_intake(&mut self, intake: RelayOutcome) -> Vec<JobEvent> {
         for fault in &intake.faults {
             meters::note_relay_fault(*fault);
             event("relay_answer_refused", &[("fault", fault)]);
@@ -154,8 +154,8 @@
     }
 
     /// Before when nobody claims the shard, by what they say.
-    pub(super) fn vouched_until(&self, now: Millis, own_hall: &HallId) -> Option<Millis> {
-        self.desk.vouched_until(now, own_hall)
+    pub(super) fn unclaimed_until(&self, now: Millis, own_hall: &HallId) -> Option<Millis> {
+        self.desk.unclaimed_until(now, own_hall)
     }
 
     fn tell(&mut self, now: Millis) {
--- a/crates/sandshelfd/src/jobs/owner/tenure.rs
+++ b/crates/sandshelfd/src/jobs/owner/tenure.rs
@@ -1,6 +1,6 @@
 //! Whether this host, which owns the shard, may have been followed by another; and what it tells an owner that wonders.
 
-use sandshelf_jobs::relay::ShardSight;
+use sandshelf_jobs::relay::ShardObservation;
 use sandshelf_jobs::{JobEvent, OwnerTenure};
 use sandshelf_lease::LeaseStage;
 use sandshelf_model::Millis;
@@ -48,7 +48,7 @@
         }
         let renewed_until = owned.tenure.tenure.note_renewed(renewed_at);
         if now >= renewed_at + ASK_AFTER_MS {
-            if let Some(until) = owned.relays.vouched_until(now, &self.settings.hall) {
+            if let Some(until) = owned.relays.unclaimed_until(now, &self.settings.hall) {
                 owned.tenure.tenure.note_vouched(until);
             }
             if now >= owned.tenure.next_ask {
@@ -67,14 +67,14 @@
     ///
     /// Where this host has trouble with the store as well, it gives up the row that it has in view: it has to see a row anew and unchanged for a
     /// whole lease before it claims, and the owner can count on that.
-    pub(super) fn tell_sight(&mut self, reply: oneshot::Sender<ShardSight>) {
+    pub(super) fn tell_sight(&mut self, reply: oneshot::Sender<ShardObservation>) {
         let now = clock::now();
         let waits = |since: Millis| now >= since + READ_SOON_MS;
         let troubled = self.store.health.is_failing() || self.reading.is_some_and(waits);
         if troubled && *self.lease.stage() == LeaseStage::Watching {
             self.lease.fall_back();
         }
-        let _ = reply.send(ShardSight {
+        let _ = reply.send(ShardObservation {
             epoch: self.lease.newest_epoch(),
             claims_after_ms: self.lease.claims_after(now),
         });
--- a/crates/sandshelfd/src/jobs/relays.rs
+++ b/crates/sandshelfd/src/jobs/relays.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use sandshelf_jobs::relay::{
-    decode_greeting, decode_message, encode_message, RelayFault, RelayGreeting, RelayMessage,
+    decode_handshake, decode_message, encode_message, RelayFault, RelayHandshake, RelayMessage,
     RelayNumber, LARGEST_MESSAGE_BYTES,
 };
 use sandshelf_model::HostId;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub enum RelayNews {
     /// A host offers to carry orders.
-    Came(LinkNumber, RelayGreeting, UnboundedSender<Bytes>),
+    Came(LinkNumber, RelayHandshake, UnboundedSender<Bytes>),
     /// A host says something.
     Said(LinkNumber, RelayMessage),
     /// A connection is over.
@@ -128,7 +128,7 @@
     let (read, write) = stream.into_split();
     let mut frames = FramedRead::new(read, framing());
     let greeting = match timeout(GREETING_WITHIN, frames.next()).await {
-        Ok(Some(Ok(frame))) => decode_greeting(&frame),
+        Ok(Some(Ok(frame))) => decode_handshake(&frame),
         _ => Err(RelayFault::Unreadable),
     };
     let greeting = match greeting {
--- a/crates/sandshelfd/src/jobs/station.rs
+++ b/crates/sandshelfd/src/jobs/station.rs
@@ -10,8 +10,8 @@
 use sandshelf_adapter::WorkerClient;
 use sandshelf_config::JobSettings;
 use sandshelf_jobs::relay::{
-    decode_message, encode_greeting, encode_message, RelayFault, RelayGreeting, RelayMessage,
-    RelayStation, RelayedAnswer, RelayedOrder, ShardSight,
+    decode_message, encode_handshake, encode_message, RelayAgent, RelayFault, RelayHandshake,
+    RelayMessage, RelayedAnswer, RelayedOrder, ShardObservation,
 };
 use sandshelf_jobs::WorkerCall;
 use sandshelf_model::{Epoch, HostId};
@@ -43,7 +43,7 @@
 const GATHER: Duration = Duration::from_millis(4);
 
 /// Asks the control thread what this host knows of the shard.
-pub type SightQuestions = UnboundedSender<oneshot::Sender<ShardSight>>;
+pub type SightQuestions = UnboundedSender<oneshot::Sender<ShardObservation>>;
 
 /// Where the owner of an epoch takes connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -103,18 +103,18 @@
     let (read, write) = stream.into_split();
     let mut frames = FramedRead::new(read, framing());
     let mut greeter = FramedWrite::new(write, framing());
-    let greeting = RelayGreeting::new(
+    let greeting = RelayHandshake::new(
         HostId::from(settings.host.as_str()),
         settings.hall.clone(),
         settings.processor_millis,
     );
-    let greeted = greeter.send(Bytes::from(encode_greeting(&greeting)));
+    let greeted = greeter.send(Bytes::from(encode_handshake(&greeting)));
     if greeted.await.is_err() {
         return;
     }
     let (outbox, waiting) = unbounded_channel();
     let desk = OrderDesk {
-        station: Rc::new(RefCell::new(RelayStation::new(owner.epoch))),
+        station: Rc::new(RefCell::new(RelayAgent::new(owner.epoch))),
         calls: RefCell::new(WorkerCalls::new(client)),
         answered: Rc::new(Notify::new()),
         questions,
@@ -147,7 +147,7 @@
 
 /// The orders of one owner that are under way from here.
 struct OrderDesk<'a> {
-    station: Rc<RefCell<RelayStation>>,
+    station: Rc<RefCell<RelayAgent>>,
     calls: RefCell<WorkerCalls>,
     answered: Rc<Notify>,
     questions: &'a SightQuestions,
@@ -168,8 +168,8 @@
                 Err(_) => return "the owner is silent",
             };
             let message = match decode_message(&frame) {
-                Ok(RelayMessage::Asks(epoch, number)) => {
-                    if let Err(fault) = self.answer_question(epoch, number, outbox).await {
+                Ok(RelayMessage::ShardQuery(epoch, number)) => {
+                    if let Err(fault) = self.answer_query(epoch, number, outbox).await {
                         event("relay_refused", &[("link", &"owner"), ("fault", &fault)]);
                         return "a message was refused";
                     }
@@ -181,7 +181,7 @@
             let taken = message.and_then(|message| self.station.borrow_mut().take(now, message));
             match taken {
                 Ok(orders) if orders.is_empty() => {
-                    let beat = self.station.borrow().beat();
+                    let beat = self.station.borrow().heartbeat();
                     let _ = outbox.send(encode_message(&beat).into());
                 }
                 Ok(orders) => {
@@ -197,7 +197,7 @@
     }
 
     /// Tells the owner what this host knows of the shard.
-    async fn answer_question(
+    async fn answer_query(
         &self,
         epoch: Epoch,
         number: u64,
@@ -209,10 +209,7 @@
         let Ok(sight) = sight.await else {
             return Ok(());
         };
-        let told = self
-            .station
-            .borrow()
-            .answer_question(epoch, number, sight)?;
+        let told = self.station.borrow().answer_query(epoch, number, sight)?;
         let _ = outbox.send(encode_message(&told).into());
         Ok(())
     }
@@ -230,7 +227,7 @@
         spawn_local(async move {
             if let Some(mut answer) = RelayedAnswer::of(sent.await) {
                 let took = clock::now().saturating_sub(began);
-                answer.came_late(took.saturating_sub(asked_ms));
+                answer.note_carrier_delay(took.saturating_sub(asked_ms));
                 station.borrow_mut().finish(order.number, answer);
                 answered.notify_one();
             }
