--- a/crates/jobs/src/relay/agent.rs
+++ b/crates/jobs/src/relay/agent.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// The message is of another epoch, or not for a relay; nothing of it is carried out.
-    pub fn take(
+    pub fn handle_message(
         &mut self,
         now: Millis,
         message: RelayMessage,
--- a/crates/jobs/src/relay/dispatcher.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -257,7 +257,12 @@
 
     /// Takes in a relay's answers. Those to orders that it doesn't carry change nothing: they came too late, or another relay
     /// was given the order.
-    pub fn take(&mut self, now: Millis, relay: RelayNumber, message: RelayMessage) -> RelayOutcome {
+    pub fn handle_message(
+        &mut self,
+        now: Millis,
+        relay: RelayNumber,
+        message: RelayMessage,
+    ) -> RelayOutcome {
         let mut intake = RelayOutcome::default();
         let (epoch, answers, leaves) = match message {
             RelayMessage::Answers(epoch, answers) => (epoch, answers, false),
--- a/crates/jobs/src/relay/mod.rs
+++ b/crates/jobs/src/relay/mod.rs
@@ -28,11 +28,11 @@
 //! // What the relay does with it.
 //! let mut agent = RelayAgent::new(7);
 //! let (_, message) = dispatcher.take_messages(0).pop().expect("one message");
-//! let orders = agent.take(0, message).expect("orders of this epoch");
+//! let orders = agent.handle_message(0, message).expect("orders of this epoch");
 //! agent.finish(orders[0].number, RenewalAnswer::Failed(OrderAnswer::Unreachable).into());
 //!
 //! let answers = agent.take_answers().expect("an answer");
-//! assert_eq!(dispatcher.take(5, relay, answers).events.len(), 1);
+//! assert_eq!(dispatcher.handle_message(5, relay, answers).events.len(), 1);
 //! ```
 
 mod agent;
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -88,7 +88,7 @@
     ];
     assert_eq!(unanswered, expected);
     assert_eq!(desk.leave(0, relay), []);
-    let late = desk.take(5, relay, answers(vec![(1, report())]));
+    let late = desk.handle_message(5, relay, answers(vec![(1, report())]));
     assert_eq!(
         (late.events.len(), late.faults),
         (0, vec![RelayFault::UnknownRelay])
@@ -130,7 +130,7 @@
     let relay = join(&mut desk, "a", 0, STRONG);
     let asked = desk.take_heartbeats(2_000);
     assert_eq!(asked, [(relay, orders_of(EPOCH, 2_000))]);
-    desk.take(5_900, relay, answers(Vec::new()));
+    desk.handle_message(5_900, relay, answers(Vec::new()));
     assert_eq!(desk.tick(6_100).lost, []);
     assert_eq!(desk.tick(12_000).lost, [relay]);
 }
@@ -141,10 +141,10 @@
     let leaving = join(&mut desk, "a", 0, STRONG);
     let staying = join(&mut desk, "b", 1, STRONG);
     assert_eq!(route(&mut desk, 0, 0, start(1)), Some(leaving));
-    desk.take(1, leaving, RelayMessage::Leaves(EPOCH));
+    desk.handle_message(1, leaving, RelayMessage::Leaves(EPOCH));
     assert_eq!(route(&mut desk, 2, 0, hold()), Some(staying));
     let told = answers(vec![(1, OrderAnswer::Done(1).into())]);
-    assert_eq!(desk.take(3, leaving, told).events.len(), 1);
+    assert_eq!(desk.handle_message(3, leaving, told).events.len(), 1);
     assert_eq!(desk.leave(0, leaving), []);
     assert_eq!(route(&mut desk, 4, 0, hold()), Some(staying));
 }
@@ -189,10 +189,10 @@
         (north, orders_of(EPOCH, 0), RelayFault::Misdirected),
     ];
     for (relay, message, fault) in cases {
-        let intake = desk.take(1, relay, message);
+        let intake = desk.handle_message(1, relay, message);
         assert_eq!((intake.events, intake.faults), (vec![], vec![fault]));
     }
-    let good = desk.take(2, north, answers(vec![(1, OrderAnswer::Done(1).into())]));
+    let good = desk.handle_message(2, north, answers(vec![(1, OrderAnswer::Done(1).into())]));
     let done = JobEvent::StartAnswered(worker(0), key(1), OrderAnswer::Done(1));
     assert_eq!(good.events, [done]);
 }
@@ -205,7 +205,7 @@
         (1, OrderAnswer::Done(1).into()),
         (1, OrderAnswer::Done(1).into()),
     ];
-    let intake = desk.take(1, relay, answers(twice));
+    let intake = desk.handle_message(1, relay, answers(twice));
     assert_eq!(
         (intake.events.len(), intake.faults),
         (1, vec![RelayFault::UnknownOrder(1)])
--- a/crates/jobs/tests/relay_explored.rs
+++ b/crates/jobs/tests/relay_explored.rs
@@ -225,7 +225,7 @@
         if let (PlantedFault::TwiceCarried, RelayMessage::Orders(batch)) = (fault, &message) {
             link.carried.extend(batch.orders.clone());
         }
-        match link.station.take(0, message) {
+        match link.station.handle_message(0, message) {
             Ok(orders) if fault != PlantedFault::TwiceCarried => link.carried.extend(orders),
             _ => {}
         }
@@ -273,7 +273,7 @@
             PlantedFault::AnyAnswer => state.links[1 - number].relay,
             _ => state.links[number].relay,
         };
-        for event in state.desk.take(0, from, message).events {
+        for event in state.desk.handle_message(0, from, message).events {
             state.told(event);
         }
     }
--- a/crates/jobs/tests/relay_station.rs
+++ b/crates/jobs/tests/relay_station.rs
@@ -11,10 +11,10 @@
 fn a_station_refuses_other_epochs() {
     let mut station = RelayAgent::new(EPOCH);
     for epoch in [EPOCH - 1, EPOCH + 1] {
-        let refused = station.take(0, orders_of(epoch, 0));
+        let refused = station.handle_message(0, orders_of(epoch, 0));
         assert_eq!(refused, Err(RelayFault::OtherEpoch(epoch)));
     }
-    let refused = station.take(0, answers(Vec::new()));
+    let refused = station.handle_message(0, answers(Vec::new()));
     assert_eq!(refused, Err(RelayFault::Misdirected));
 }
 
@@ -24,11 +24,11 @@
     let mut desk = desk(STRONG, 400);
     join(&mut desk, "a", 0, STRONG);
     let mut station = RelayAgent::new(EPOCH);
-    let quick = station.take(apart + 5, orders_of(EPOCH, 0));
+    let quick = station.handle_message(apart + 5, orders_of(EPOCH, 0));
     assert_eq!(quick, Ok(Vec::new()));
     route(&mut desk, 4_000, 0, start(1));
     let (_, message) = desk.take_messages(4_000).pop().expect("orders");
-    let taken = station.take(apart + 4_005 + late, message);
+    let taken = station.handle_message(apart + 4_005 + late, message);
     assert_eq!(taken.map(|orders| orders.len()), Ok(usize::from(carried)));
     let told = (!carried).then(|| answers(vec![(1, OrderAnswer::NotSent.into())]));
     assert_eq!(station.take_answers(), told);
@@ -52,7 +52,7 @@
             sent_at,
             orders: vec![order],
         };
-        let taken = station.take(sent_at + way, RelayMessage::Orders(batch));
+        let taken = station.handle_message(sent_at + way, RelayMessage::Orders(batch));
         carried.push(!taken.expect("orders of this epoch").is_empty());
     }
     assert_eq!(carried[..6], [true, true, true, true, true, false]);
@@ -68,17 +68,24 @@
     let mut station = RelayAgent::new(EPOCH);
     let again = message.clone();
     assert_eq!(
-        station.take(0, message.clone()).map(|orders| orders.len()),
+        station
+            .handle_message(0, message.clone())
+            .map(|orders| orders.len()),
         Ok(1)
     );
-    assert_eq!(station.take(0, message).map(|orders| orders.len()), Ok(0));
+    assert_eq!(
+        station
+            .handle_message(0, message)
+            .map(|orders| orders.len()),
+        Ok(0)
+    );
     station.finish(1, OrderAnswer::Done(1).into());
     station.finish(1, OrderAnswer::Done(2).into());
     let told = station.take_answers();
     assert_eq!(told, Some(answers(vec![(1, OrderAnswer::Done(1).into())])));
     assert_eq!((station.take_answers(), station.open_orders()), (None, 0));
     assert_eq!(
-        station.take(0, again).map(|orders| orders.len()),
+        station.handle_message(0, again).map(|orders| orders.len()),
         Ok(0),
         "it has ended"
     );
--- a/crates/jobs/tests/tenure.rs
+++ b/crates/jobs/tests/tenure.rs
@@ -119,7 +119,7 @@
         };
         if answering.contains(&relay) {
             let answer = RelayMessage::ShardReply(EPOCH, number, sight);
-            let intake = desk.take(now + 5, relay, answer);
+            let intake = desk.handle_message(now + 5, relay, answer);
             assert_eq!(intake.faults, []);
             followed_by = followed_by.max(intake.followed_by);
         }
@@ -162,7 +162,7 @@
             epoch,
             claims_after_ms: LEASE_MS,
         };
-        desk.take(605, relay, RelayMessage::ShardReply(epoch, number, sight));
+        desk.handle_message(605, relay, RelayMessage::ShardReply(epoch, number, sight));
     }
     assert_eq!(vouched(&desk, 610), Some(600 + LEASE_MS));
 }
@@ -242,7 +242,7 @@
             epoch: EPOCH,
             claims_after_ms: LEASE_MS,
         };
-        desk.take(1_605, relay, RelayMessage::ShardReply(epoch, number, sight));
+        desk.handle_message(1_605, relay, RelayMessage::ShardReply(epoch, number, sight));
     }
     let until = vouched(&desk, 1_610);
     assert_eq!(until == Some(1_600 + LEASE_MS), enough);
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -219,7 +219,7 @@
             if other.near || back {
                 for (_, number, sight) in std::mem::take(&mut other.answers) {
                     let answer = RelayMessage::ShardReply(EPOCH, number, sight);
-                    let intake = self.desk.take(self.now, other.relay, answer);
+                    let intake = self.desk.handle_message(self.now, other.relay, answer);
                     self.owns &= intake.followed_by.is_none();
                 }
             }
--- a/crates/sandshelfd/src/jobs/owner/carry.rs
+++ b/crates/sandshelfd/src/jobs/owner/carry.rs
@@ -121,7 +121,7 @@
         let Some(relay) = self.links.relay(link) else {
             return Vec::new();
         };
-        let intake = self.desk.take(now, relay, message);
+        let intake = self.desk.handle_message(now, relay, message);
         self.followed_by = self.followed_by.max(intake.followed_by);
         self.finish_intake(intake)
     }
--- a/crates/sandshelfd/src/jobs/station.rs
+++ b/crates/sandshelfd/src/jobs/station.rs
@@ -178,7 +178,8 @@
                 other => other,
             };
             let now = clock::now();
-            let taken = message.and_then(|message| self.station.borrow_mut().take(now, message));
+            let taken =
+                message.and_then(|message| self.station.borrow_mut().handle_message(now, message));
             match taken {
                 Ok(orders) if orders.is_empty() => {
                     let beat = self.station.borrow().heartbeat();
