--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -5,7 +5,8 @@
 use crate::ids::{RunKey, TaskKey};
 use crate::life::ClockSight;
 use crate::limits::{
-    INVALID_PAUSE_MS, NO_ROOM_PAUSE_MS, OLDEST_ANSWER_MS, UNHEALTHY_PAUSE_MS, UNREACHABLE_PAUSE_MS,
+    INVALID_ORDER_PAUSE_MS, MAX_ORDER_AGE_MS, NO_ROOM_PAUSE_MS, UNHEALTHY_PAUSE_MS,
+    UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{OrderAnswer, RefusalReason};
@@ -50,7 +51,7 @@
             }
             OrderAnswer::NotSent => self.drop_run(now, worker, &key),
             OrderAnswer::Invalid => {
-                self.delay_task(&key.task, now + INVALID_PAUSE_MS);
+                self.delay_task(&key.task, now + INVALID_ORDER_PAUSE_MS);
                 self.drop_run(now, worker, &key);
             }
             OrderAnswer::Unreachable => {
@@ -66,7 +67,7 @@
     fn start_asked(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
         let state = self.workers.get(worker);
         let record = state.and_then(|state| state.runs.get(key));
-        record.map_or(now.saturating_sub(OLDEST_ANSWER_MS), |record| {
+        record.map_or(now.saturating_sub(MAX_ORDER_AGE_MS), |record| {
             record.ordered_at
         })
     }
@@ -141,7 +142,7 @@
         let record = self.record_mut(worker, &key);
         let asked = match record.map(|record| record.phase) {
             Some(RunPhase::Stopping { sent, .. }) => sent,
-            _ => now.saturating_sub(OLDEST_ANSWER_MS),
+            _ => now.saturating_sub(MAX_ORDER_AGE_MS),
         };
         let known = self.take_sight(now, worker, ClockSight { clock, asked });
         if let Some(record) = self.record_mut(worker, &key).filter(|_| known) {
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -7,7 +7,8 @@
 use crate::events::{CommitBatch, JobAction};
 use crate::ids::JobNumber;
 use crate::limits::{
-    COMMIT_JOBS, COMMIT_PAUSE_MS, FORGET_AT_ONCE, PENDING_EVERY_MS, STRENGTHS_EVERY_MS,
+    INTERFERENCE_WRITE_INTERVAL_MS, MAX_FORGOTTEN_JOBS_PER_COMMIT, MAX_JOBS_PER_COMMIT,
+    MIN_COMMIT_INTERVAL_MS, PENDING_PUBLISH_INTERVAL_MS,
 };
 use crate::press::StrengthRow;
 use crate::progress::ProgressRow;
@@ -24,7 +25,7 @@
         if self.dirty.is_empty() && std::mem::take(&mut self.unacknowledged) {
             self.acknowledge_all(now);
         }
-        let due = self.urgent || now >= self.last_commit + COMMIT_PAUSE_MS;
+        let due = self.urgent || now >= self.last_commit + MIN_COMMIT_INTERVAL_MS;
         if !due {
             return;
         }
@@ -41,7 +42,7 @@
             return;
         }
         self.commit_count += 1;
-        let room = COMMIT_JOBS - forget.len();
+        let room = MAX_JOBS_PER_COMMIT - forget.len();
         let numbers: Vec<JobNumber> = self.dirty.iter().take(room).copied().collect();
         self.dirty.drain(..numbers.len());
         let complete = self.dirty.is_empty();
@@ -80,7 +81,7 @@
 
     /// What is learnt of images, where it was last written some time ago; it goes along with other writes.
     fn due_strengths(&mut self, now: Millis) -> Option<StrengthRow> {
-        if now < self.strengths_at + STRENGTHS_EVERY_MS {
+        if now < self.strengths_at + INTERFERENCE_WRITE_INTERVAL_MS {
             return None;
         }
         self.strengths_at = now;
@@ -90,7 +91,7 @@
     /// Jobs that ended long ago, a few at a time; they stay known here until the write is asked for.
     fn outdated_jobs(&mut self, now: Millis) -> Vec<JobNumber> {
         let old = |at: Millis| now > at + self.limits.keep_finished_ms;
-        let count = self.finished_at.iter().take(FORGET_AT_ONCE);
+        let count = self.finished_at.iter().take(MAX_FORGOTTEN_JOBS_PER_COMMIT);
         let count = count.take_while(|(at, _)| old(*at)).count();
         self.finished_at
             .drain(..count)
@@ -166,7 +167,7 @@
 
     /// The numbers of waiting jobs, where they changed and are due to be published.
     fn changed_pending(&mut self, now: Millis) -> Option<BTreeMap<String, u64>> {
-        if self.state_pending || now < self.pending_at + PENDING_EVERY_MS {
+        if self.state_pending || now < self.pending_at + PENDING_PUBLISH_INTERVAL_MS {
             return None;
         }
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
--- a/crates/jobs/src/crash/book.rs
+++ b/crates/jobs/src/crash/book.rs
@@ -7,7 +7,9 @@
 
 use super::CrashNote;
 use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
-use crate::limits::{HERD_MS, SOUND_AGAIN_MS, UNEXPLAINED_KEPT_MS};
+use crate::limits::{
+    AVOID_AFTER_CRASH_MS, MASS_FAILURE_WINDOW_MS, UNEXPLAINED_FAILURE_RETENTION_MS,
+};
 
 /// A life of a worker that is taken as crashed.
 #[derive(Clone, Debug)]
@@ -78,19 +80,21 @@
     /// Whether a worker crashed lately at an address.
     pub(crate) fn crashed_lately(&self, now: Millis, address: &SocketAddr) -> bool {
         let at = self.crashed_at.get(address);
-        at.is_some_and(|at| now < at + SOUND_AGAIN_MS)
+        at.is_some_and(|at| now < at + AVOID_AFTER_CRASH_MS)
     }
 
     /// Notes that a worker went down which was last heard then, and on which nothing was unproven.
     pub(super) fn note_unexplained(&mut self, now: Millis, heard_at: Millis) {
-        self.unexplained.retain(|at| now < at + UNEXPLAINED_KEPT_MS);
+        self.unexplained
+            .retain(|at| now < at + UNEXPLAINED_FAILURE_RETENTION_MS);
         self.unexplained.push(heard_at);
     }
 
     /// How many such workers were last heard at about a time.
     pub(super) fn unexplained_near(&self, heard_at: Millis) -> usize {
         let near = self.unexplained.iter();
-        near.filter(|at| at.abs_diff(heard_at) <= HERD_MS).count()
+        near.filter(|at| at.abs_diff(heard_at) <= MASS_FAILURE_WINDOW_MS)
+            .count()
     }
 
     /// Forgets a task that is proven, or whose notes were withdrawn.
@@ -102,7 +106,8 @@
 
     /// Notes that a worker crashed at an address.
     pub(super) fn note_place(&mut self, now: Millis, address: SocketAddr) {
-        self.crashed_at.retain(|_, at| now < *at + SOUND_AGAIN_MS);
+        self.crashed_at
+            .retain(|_, at| now < *at + AVOID_AFTER_CRASH_MS);
         self.crashed_at.insert(address, now);
     }
 
--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -7,7 +7,8 @@
 use crate::ids::{RunKey, TaskKey};
 use crate::job::{TaskStage, TaskState};
 use crate::limits::{
-    CRASH_KEPT_MS, FEWEST_KEPT_WORKERS, KEPT_OF_WORKERS, LATEST_CRASH_MS, PROVEN_AFTER_MS,
+    CLEARED_AFTER_MS, MAX_RUN_AGE_AT_CRASH_MS, MIN_RESERVABLE_WORKERS, RESERVED_FLEET_DIVISOR,
+    WORKER_RESERVATION_MS,
 };
 use crate::scheduler::JobScheduler;
 use crate::worker::WorkerState;
@@ -22,7 +23,7 @@
     /// How long after the start of a task's run its worker has to be heard for the run to be proven.
     pub(super) fn proof_ms(&self, task: &TaskKey) -> Millis {
         let noted = self.noted_task(task);
-        noted.map_or(PROVEN_AFTER_MS, |noted| noted.crashes.proof_ms())
+        noted.map_or(CLEARED_AFTER_MS, |noted| noted.crashes.proof_ms())
     }
 
     /// A task with crashes that are noted.
@@ -64,7 +65,7 @@
             })
         });
         let began = began.chain(worker.suspects.iter().copied());
-        let late = began.filter(|suspect| suspect.heard_ms <= LATEST_CRASH_MS);
+        let late = began.filter(|suspect| suspect.heard_ms <= MAX_RUN_AGE_AT_CRASH_MS);
         late.collect()
     }
 
@@ -150,13 +151,13 @@
     pub(crate) fn keep_worker(&mut self, now: Millis, worker: WorkerId, task: TaskKey) {
         self.crashes
             .kept
-            .insert(worker, (task, now + CRASH_KEPT_MS));
+            .insert(worker, (task, now + WORKER_RESERVATION_MS));
     }
 
     /// Whether one more worker may be kept for a task that waits to be alone.
     pub(crate) fn may_keep_for(&self, task: &TaskKey) -> bool {
         let kept = &self.crashes.kept;
-        let most = FEWEST_KEPT_WORKERS.max(self.workers.len() / KEPT_OF_WORKERS);
+        let most = MIN_RESERVABLE_WORKERS.max(self.workers.len() / RESERVED_FLEET_DIVISOR);
         kept.len() < most && kept.values().all(|(kept_for, _)| kept_for != task)
     }
 
--- a/crates/jobs/src/crash/noted.rs
+++ b/crates/jobs/src/crash/noted.rs
@@ -9,8 +9,8 @@
 use crate::job::TaskStage;
 use crate::life::are_others;
 use crate::limits::{
-    ALONE_FROM_CRASHES, CRASH_WAIT_MS, FEWEST_IN_HERD, HERD_MS, HERD_OF_WORKERS,
-    UNFOUND_WATCHED_AT_MOST,
+    ISOLATE_FROM_CRASHES, MASS_FAILURE_FLEET_DIVISOR, MASS_FAILURE_WINDOW_MS,
+    MAX_CRASH_NOTE_WAIT_MS, MAX_WATCHED_UNFOUND_TASKS, MIN_MASS_FAILURE_WORKERS,
 };
 use crate::note::{JobNote, LossCause};
 use crate::scheduler::JobScheduler;
@@ -90,11 +90,12 @@
     /// brought those down may have brought this one down as well, so that nothing can be said to be the only cause.
     fn goes_with_others(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
-            let silent = other.failed_holds > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
+            let silent = other.failed_holds > 0
+                && other.last_answer.abs_diff(heard_at) <= MASS_FAILURE_WINDOW_MS;
             silent && *id != worker && self.is_unexplained(other)
         });
         let unexplained = self.crashes.unexplained_near(heard_at) + failing.count();
-        unexplained >= FEWEST_IN_HERD.max(self.workers.len() / HERD_OF_WORKERS)
+        unexplained >= MIN_MASS_FAILURE_WORKERS.max(self.workers.len() / MASS_FAILURE_FLEET_DIVISOR)
     }
 
     /// Notes a crash with a task; returns whether that convicts it.
@@ -122,8 +123,8 @@
         let crashes = task.crashes.count();
         if crashes > 0 {
             // A first note is waited for a while only: while the store is out, sound tasks that were lost with their worker go on.
-            task.not_before = match crashes < ALONE_FROM_CRASHES {
-                true => now + CRASH_WAIT_MS,
+            task.not_before = match crashes < ISOLATE_FROM_CRASHES {
+                true => now + MAX_CRASH_NOTE_WAIT_MS,
                 false => Millis::MAX,
             };
             self.crashes.unwritten.insert(key);
@@ -219,7 +220,7 @@
     /// is watched, so that its next start is written down. Without this a task is started by owner after owner
     /// where each dies before it has noted what happened.
     pub(crate) fn note_unfound_suspects(&mut self, now: Millis, unfound: &[TaskKey]) {
-        let few = unfound.len() <= UNFOUND_WATCHED_AT_MOST;
+        let few = unfound.len() <= MAX_WATCHED_UNFOUND_TASKS;
         for task in unfound {
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
--- a/crates/jobs/src/crash/probes.rs
+++ b/crates/jobs/src/crash/probes.rs
@@ -7,14 +7,16 @@
 
 use crate::events::WorkerCall;
 use crate::ids::RunKey;
-use crate::limits::{FEWEST_PROBES, FIRST_PROBE_MS, PROBES, PROBE_EVERY_MS};
+use crate::limits::{
+    FIRST_PROBE_DELAY_MS, MIN_UNANSWERED_PROBES, PROBES_PER_START, PROBE_INTERVAL_MS,
+};
 use crate::run::RunRecord;
 use crate::scheduler::JobScheduler;
 
 impl RunRecord {
     /// Whether the worker went down with the start of this run, which it was heard of last so long after it began.
     pub(crate) fn is_sudden(&self, heard_ms: Millis) -> bool {
-        self.probes >= FEWEST_PROBES && heard_ms < FIRST_PROBE_MS
+        self.probes >= MIN_UNANSWERED_PROBES && heard_ms < FIRST_PROBE_DELAY_MS
     }
 }
 
@@ -24,8 +26,8 @@
         if !self.crashes.noted.contains(&key.task) {
             return;
         }
-        for number in 0..PROBES {
-            let at = now + FIRST_PROBE_MS + number * PROBE_EVERY_MS;
+        for number in 0..PROBES_PER_START {
+            let at = now + FIRST_PROBE_DELAY_MS + number * PROBE_INTERVAL_MS;
             self.crashes.probes.insert((at, worker.clone(), key));
         }
     }
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -5,8 +5,8 @@
 
 use crate::ids::{RunKey, WorkerIncarnation};
 use crate::limits::{
-    ALONE_FROM_CRASHES, CERTAIN_CRASHES, CONVICTING_CRASHES, CONVICTING_SLOW_CRASHES,
-    PROVEN_AFTER_MS, UNHEARD_AT_MOST_MS,
+    CLEARED_AFTER_MS, CRASHES_TO_BLAME, ISOLATE_FROM_CRASHES, MAX_UNHEARD_BEFORE_CRASH_MS,
+    MIN_CERTAIN_CRASHES, SLOW_CRASHES_TO_BLAME,
 };
 
 /// A run that was lost with a worker, or may be.
@@ -100,17 +100,17 @@
         let alone = self.notes.iter().filter(|note| note.alone).count();
         let last = self.notes.last().is_some_and(|note| note.alone);
         let sudden = self.notes.iter().filter(|note| note.sudden).count();
-        let enough = match sudden >= CERTAIN_CRASHES {
-            true => CONVICTING_CRASHES,
-            false => CONVICTING_SLOW_CRASHES,
+        let enough = match sudden >= MIN_CERTAIN_CRASHES {
+            true => CRASHES_TO_BLAME,
+            false => SLOW_CRASHES_TO_BLAME,
         };
-        last && alone >= CERTAIN_CRASHES && self.count() >= enough
+        last && alone >= MIN_CERTAIN_CRASHES && self.count() >= enough
     }
 
     pub(crate) fn caution(&self) -> StartCaution {
         match self.count() {
             0 => StartCaution::Usual,
-            count if count < ALONE_FROM_CRASHES => StartCaution::Apart,
+            count if count < ISOLATE_FROM_CRASHES => StartCaution::Apart,
             _ => StartCaution::Alone,
         }
     }
@@ -155,5 +155,7 @@
 /// How long after its start a run is proven of a task with these crashes.
 fn proof_after(notes: &[CrashNote]) -> Millis {
     let longest = notes.iter().map(|note| note.heard_ms).max();
-    longest.map_or(PROVEN_AFTER_MS, |longest| longest + UNHEARD_AT_MOST_MS)
+    longest.map_or(CLEARED_AFTER_MS, |longest| {
+        longest + MAX_UNHEARD_BEFORE_CRASH_MS
+    })
 }
--- a/crates/jobs/src/guard.rs
+++ b/crates/jobs/src/guard.rs
@@ -10,7 +10,7 @@
 use crate::ids::RunKey;
 use crate::images::ImageId;
 use crate::life::ClockSight;
-use crate::limits::OLDEST_ANSWER_MS;
+use crate::limits::MAX_ORDER_AGE_MS;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{OrderAnswer, RefusalReason};
 use crate::run::{RunPhase, RunRecord};
@@ -185,7 +185,7 @@
     ) {
         match answer {
             OrderAnswer::Done(clock) => {
-                let asked = now.saturating_sub(OLDEST_ANSWER_MS);
+                let asked = now.saturating_sub(MAX_ORDER_AGE_MS);
                 self.take_sight(now, worker, ClockSight { clock, asked });
             }
             OrderAnswer::Refused(_, RefusalReason::Fenced) => self.deposed = true,
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -10,8 +10,9 @@
 use crate::job::TaskStage;
 use crate::life::ClockSight;
 use crate::limits::{
-    FOREIGN_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, IDLE_HOLD_WAIT_MS, MARKED_HOLD_MS, PROVEN_AFTER_MS,
-    TICK_MS, UNACKNOWLEDGED_HOLD_MS, UNREACHABLE_PAUSE_MS,
+    CLEARED_AFTER_MS, FOREIGN_RUN_RETENTION_MS, IDLE_RENEWAL_WAIT_MS, RENEWAL_RETRY_PAUSE_MS,
+    RENEWAL_WAIT_MS, SILENCE_RECORD_RENEWAL_PAUSE_MS, TICK_MS, UNACKNOWLEDGED_RENEWAL_PAUSE_MS,
+    UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{EndReport, OrderAnswer, RenewalAnswer, RenewalReport, RunReport};
@@ -98,7 +99,7 @@
             RenewalAnswer::Failed(answer) => {
                 state.unsure = true;
                 state.failed_holds += 1;
-                self.hold_at(worker, now + HOLD_RETRY_MS);
+                self.hold_at(worker, now + RENEWAL_RETRY_PAUSE_MS);
                 match answer {
                     OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
                     OrderAnswer::Unreachable => {
@@ -213,14 +214,14 @@
         };
         let gap = match state.mark {
             LeaseMark::None => self.strain.hold_gap_ms(),
-            LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
+            LeaseMark::Marked | LeaseMark::Removed(_) => SILENCE_RECORD_RENEWAL_PAUSE_MS,
         };
         state.hold_gap = gap;
         let pause = if state.life.has_unwritten() {
-            UNACKNOWLEDGED_HOLD_MS.max(gap)
+            UNACKNOWLEDGED_RENEWAL_PAUSE_MS.max(gap)
         } else if state.withholds_ends(now) {
             // A worker that lists ends answers at once, however long it may wait.
-            HOLD_WAIT_MS.max(gap)
+            RENEWAL_WAIT_MS.max(gap)
         } else {
             gap
         };
@@ -278,7 +279,7 @@
     fn is_foreign(&self, now: Millis, key: &RunKey) -> bool {
         let job = &key.task.job;
         let unknown = !self.jobs.contains_key(job) && !self.finished.contains(job);
-        unknown && (self.state_pending || now < self.began_at + FOREIGN_MS)
+        unknown && (self.state_pending || now < self.began_at + FOREIGN_RUN_RETENTION_MS)
     }
 
     /// Takes over a run that an earlier owner started, or takes one back that was given up: started anew beside it the task would run twice.
@@ -314,7 +315,7 @@
             percent: run.percent,
             gauge: run.gauge,
             // It has outlived the change of owner, so that it counts as proven unless its task needs longer for that.
-            began: Some(clock.saturating_sub(PROVEN_AFTER_MS)),
+            began: Some(clock.saturating_sub(CLEARED_AFTER_MS)),
             ..RunRecord::new(
                 &step,
                 self.images.get(&step.image),
@@ -372,9 +373,9 @@
     let wait_ms = if worker.life.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
-        strain.hold_wait_ms(HOLD_WAIT_MS)
+        strain.hold_wait_ms(RENEWAL_WAIT_MS)
     } else {
-        strain.hold_wait_ms(IDLE_HOLD_WAIT_MS)
+        strain.hold_wait_ms(IDLE_RENEWAL_WAIT_MS)
     };
     let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
     RenewalCall {
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -9,7 +9,7 @@
 use crate::ids::{JobNumber, RunKey, WorkerIncarnation};
 use crate::job::{objective_ms, JobState, TaskStage};
 use crate::life::LifeState;
-use crate::limits::{LIST_GAP_MS, RELIST_MS};
+use crate::limits::{LIST_RECOVERY_MS, MAX_LIST_GAP_MS};
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::progress::ProgressRow;
 use crate::reports::WorkerListing;
@@ -211,11 +211,11 @@
     /// Takes in the list of workers.
     pub(crate) fn take_list(&mut self, now: Millis, list: Vec<WorkerListing>) {
         let named: BTreeSet<WorkerId> = list.iter().map(|entry| entry.worker.clone()).collect();
-        if now > self.last_list + LIST_GAP_MS {
+        if now > self.last_list + MAX_LIST_GAP_MS {
             self.lists_since = now;
         }
         self.last_list = now;
-        let settled = now >= self.lists_since + RELIST_MS;
+        let settled = now >= self.lists_since + LIST_RECOVERY_MS;
         for (id, worker) in &mut self.workers {
             worker.listed = named.contains(id);
             worker.unreadable &= !worker.listed;
--- a/crates/jobs/src/life.rs
+++ b/crates/jobs/src/life.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::Millis;
 
 use crate::ids::WorkerIncarnation;
-use crate::limits::SLOWEST_CLOCK_PERCENT;
+use crate::limits::MIN_CLOCK_RATE_PERCENT;
 use crate::reports::WorkerClock;
 
 /// How far clocks may be off each other within the time of one order, and how late a host may read its own, in milliseconds.
@@ -105,7 +105,7 @@
     /// What its clock shows at least by now, however slow it runs.
     fn least_clock(&self, now: Millis) -> Option<WorkerClock> {
         let reading = self.reading?;
-        let passed = now.saturating_sub(reading.at) * SLOWEST_CLOCK_PERCENT / 100;
+        let passed = now.saturating_sub(reading.at) * MIN_CLOCK_RATE_PERCENT / 100;
         Some(reading.clock + passed)
     }
 
@@ -113,7 +113,7 @@
     pub(crate) fn lease_over_at(&self) -> Option<Millis> {
         let reading = self.reading?;
         let left = (self.granted + 1).saturating_sub(reading.clock);
-        Some(reading.at + (left * 100).div_ceil(SLOWEST_CLOCK_PERCENT))
+        Some(reading.at + (left * 100).div_ceil(MIN_CLOCK_RATE_PERCENT))
     }
 
     /// Whether all that was leased to it has certainly run out.
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -9,7 +9,7 @@
 use crate::crash::StartCaution;
 use crate::fill::{FillAsk, FillUrgency};
 use crate::ids::TaskKey;
-use crate::limits::{LOOKS_PER_PASS, ROUND_WITHIN_MS};
+use crate::limits::{MAX_WORKER_CHECKS_PER_PASS, PASS_RESUME_WINDOW_MS};
 use crate::rank::{
     is_mostly_taken, place_rank, PassMemo, PlaceCost, PlaceRank, RankTier, VainTries, WaitingGroup,
 };
@@ -38,7 +38,7 @@
                     continue;
                 }
                 self.place_one(now, group.rank, wait, &mut memo);
-                cut = memo.looks >= LOOKS_PER_PASS;
+                cut = memo.looks >= MAX_WORKER_CHECKS_PER_PASS;
                 if cut || self.starts_under_way >= starts_at_once {
                     // What is left is tried as soon as answers have come in.
                     self.room_changed = true;
@@ -58,7 +58,7 @@
             .worker_order
             .get_or_insert_with(|| workers.keys().cloned().collect());
         let kept = self.vain_tries.take();
-        let kept = kept.filter(|tries| now < tries.since + ROUND_WITHIN_MS);
+        let kept = kept.filter(|tries| now < tries.since + PASS_RESUME_WINDOW_MS);
         PassMemo::new(order.clone(), kept.unwrap_or_else(|| VainTries::new(now)))
     }
 
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{JobNumber, TaskKey};
 use crate::job::JobState;
-use crate::limits::ROSTER_LOOK_MS;
+use crate::limits::ROSTER_CHECK_INTERVAL_MS;
 use crate::note::{JobNote, LossCause};
 use crate::scheduler::JobScheduler;
 
@@ -90,7 +90,7 @@
     /// Keeps the roster to the workers that may hold tasks: a successor waits for the answer of each of them. With leaving
     /// workers left in it until they were gone, three that had ended all their work held up every unfound task for 11 s.
     pub(crate) fn refresh_roster(&mut self, now: Millis) {
-        if now < self.roster_looked + ROSTER_LOOK_MS {
+        if now < self.roster_looked + ROSTER_CHECK_INTERVAL_MS {
             return;
         }
         self.roster_looked = now;
--- a/crates/jobs/src/relay/dispatcher.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -21,7 +21,7 @@
 /// How often orders without an answer are looked at.
 const LOOK_EVERY_MS: Millis = 100;
 /// A relay that tells nothing for so long is lost; it is asked to say that it lives.
-const SILENT_AFTER_MS: Millis = 6_000;
+const RELAY_SILENCE_TIMEOUT_MS: Millis = 6_000;
 /// How often a relay in use is told that its owner lives, where it is given no orders: relays take an owner that gave them orders
 /// for gone after three times as long.
 const BEAT_EVERY_MS: Millis = 500;
@@ -325,7 +325,7 @@
         let late = self.open.values().filter(|order| now > order.until);
         let mut lost: Vec<RelayNumber> = late.map(|order| order.relay).collect();
         let silent = self.relays.iter();
-        let silent = silent.filter(|(_, relay)| now > relay.last_heard + SILENT_AFTER_MS);
+        let silent = silent.filter(|(_, relay)| now > relay.last_heard + RELAY_SILENCE_TIMEOUT_MS);
         lost.extend(silent.map(|(number, _)| *number));
         lost.sort_unstable();
         lost.dedup();
--- a/crates/jobs/src/rooms.rs
+++ b/crates/jobs/src/rooms.rs
@@ -5,7 +5,9 @@
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
 use crate::ids::{JobNumber, TaskKey};
-use crate::limits::{FOREIGN_MS, RELIST_MS, ROOM_KNOWN_MS, STALE_ROOM_PERCENT};
+use crate::limits::{
+    FOREIGN_RUN_RETENTION_MS, LISTED_CAPACITY_FRESH_MS, LIST_RECOVERY_MS, STALE_CAPACITY_PERCENT,
+};
 use crate::scheduler::JobScheduler;
 use crate::spec::JobSpec;
 use crate::worker::WorkerState;
@@ -28,7 +30,7 @@
     /// Keeps what the tasks of a job take that has ended, as long as workers may yet report its runs to a new owner. Without it such a run
     /// counted as nothing until it had stopped, and its worker was given more than it had.
     pub(crate) fn keep_rooms(&mut self, now: Millis, number: JobNumber, spec: &JobSpec) {
-        if now < self.began_at + FOREIGN_MS {
+        if now < self.began_at + FOREIGN_RUN_RETENTION_MS {
             let rooms = spec.steps.iter().map(|step| step.room()).collect();
             self.ended_rooms.by_job.insert(number, rooms);
         }
@@ -37,7 +39,7 @@
     /// Forgets what ended jobs take, and what became known of jobs that never came, once all that an earlier owner started has been
     /// reported.
     pub(crate) fn forget_rooms(&mut self, now: Millis) {
-        if now >= self.began_at + FOREIGN_MS {
+        if now >= self.began_at + FOREIGN_RUN_RETENTION_MS {
             self.ended_rooms.by_job.clear();
             self.crashes.forget_awaited();
         }
@@ -61,10 +63,10 @@
         if worker.has_unsized() || self.foreign.names(id) {
             return ResourceSize::default();
         }
-        let fresh = now <= self.last_list + ROOM_KNOWN_MS;
-        match fresh && now >= self.lists_since + RELIST_MS {
+        let fresh = now <= self.last_list + LISTED_CAPACITY_FRESH_MS;
+        match fresh && now >= self.lists_since + LIST_RECOVERY_MS {
             true => worker.free(),
-            false => worker.free_of(STALE_ROOM_PERCENT),
+            false => worker.free_of(STALE_CAPACITY_PERCENT),
         }
     }
 }
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -14,8 +14,8 @@
 use crate::images::ImageTable;
 use crate::job::{JobState, TaskStage};
 use crate::limits::{
-    SchedulerLimits, FRESH_JOB_WAIT_MS, LONGEST_PAUSE_MS, PASS_EVERY_MS, QUARANTINE,
-    SLOWEST_CLOCK_PERCENT, TAKEOVER_MARGIN_MS, WORKER_LOOK_MS,
+    SchedulerLimits, MAX_OWNER_PAUSE_MS, MAX_PASS_INTERVAL_MS, MIN_CLOCK_RATE_PERCENT,
+    NEW_JOB_TAKEOVER_WAIT_MS, QUARANTINE_RULE, TAKEOVER_MARGIN_MS, WORKER_CHECK_INTERVAL_MS,
 };
 use crate::note::JobNote;
 use crate::press::PressEstimate;
@@ -147,7 +147,7 @@
     pub fn new(limits: SchedulerLimits, info: TakeoverInfo) -> Self {
         let inherited_lease_ms = info.inherited_lease_ms(&limits);
         let own_lease_ms = limits.lease_ms();
-        let lease = inherited_lease_ms * 100 / SLOWEST_CLOCK_PERCENT;
+        let lease = inherited_lease_ms * 100 / MIN_CLOCK_RATE_PERCENT;
         let mut scheduler = Self {
             limits,
             epoch: info.epoch,
@@ -196,11 +196,11 @@
             recovery: Some(Recovery {
                 unanswered: BTreeMap::new(),
                 until: info.claimed_at + lease + TAKEOVER_MARGIN_MS,
-                fresh_until: info.claimed_at + FRESH_JOB_WAIT_MS,
+                fresh_until: info.claimed_at + NEW_JOB_TAKEOVER_WAIT_MS,
                 listed: false,
                 lost_some: false,
             }),
-            quarantine: QuarantineBook::with_rule(QUARANTINE),
+            quarantine: QuarantineBook::with_rule(QUARANTINE_RULE),
             crashes: CrashBook::default(),
             images: ImageTable::default(),
             press: PressEstimate::default(),
@@ -253,7 +253,7 @@
         events: impl IntoIterator<Item = JobEvent>,
     ) -> Vec<JobAction> {
         // After a pause as long as the ownership lasts another owner may have finished what this one believes waiting.
-        if self.last_tick > 0 && now > self.last_tick + LONGEST_PAUSE_MS {
+        if self.last_tick > 0 && now > self.last_tick + MAX_OWNER_PAUSE_MS {
             self.deposed = true;
         }
         for event in events {
@@ -318,7 +318,7 @@
         self.check_recovery(now);
         self.note_own_leases(now);
         let sure = !self.may_be_followed(now);
-        if sure && now >= self.workers_looked + WORKER_LOOK_MS {
+        if sure && now >= self.workers_looked + WORKER_CHECK_INTERVAL_MS {
             self.workers_looked = now;
             self.check_workers(now);
             self.move_standing_tasks(now);
@@ -333,7 +333,7 @@
         }
         self.loads.refresh(now, &self.strain);
         // Readings change what serving tasks leave, and jobs grow late, without any event that frees room.
-        self.room_changed |= now >= self.last_pass + PASS_EVERY_MS;
+        self.room_changed |= now >= self.last_pass + MAX_PASS_INTERVAL_MS;
     }
 
     /// The rules of a job's queue: as configured now, else as they were when the job was accepted.
--- a/crates/jobs/src/start.rs
+++ b/crates/jobs/src/start.rs
@@ -6,7 +6,7 @@
 use crate::events::{StartCall, WorkerCall};
 use crate::ids::{RunKey, TaskKey};
 use crate::job::TaskStage;
-use crate::limits::START_VALID_MS;
+use crate::limits::START_ORDER_TTL_MS;
 use crate::note::JobNote;
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
@@ -77,7 +77,7 @@
             return;
         };
         let image = self.images.get(&step.image);
-        let deadline = state.life.clock(now).unwrap_or(0) + START_VALID_MS;
+        let deadline = state.life.clock(now).unwrap_or(0) + START_ORDER_TTL_MS;
         state.life.granted = state.life.granted.max(deadline);
         let free_cpu = state.free().cpu_millis;
         let mut record = RunRecord::new(&step, image, RunPhase::Ordered, deadline);
--- a/crates/jobs/src/strain.rs
+++ b/crates/jobs/src/strain.rs
@@ -7,7 +7,7 @@
 
 use sandshelf_model::Millis;
 
-use crate::limits::{HOLD_WAIT_MS, PASS_PAUSE_MS, STARTS_AT_ONCE, TICK_MS};
+use crate::limits::{MAX_UNANSWERED_STARTS, MIN_PASS_INTERVAL_MS, RENEWAL_WAIT_MS, TICK_MS};
 
 /// Over how long lateness is judged.
 const WINDOW_MS: Millis = 250;
@@ -143,14 +143,14 @@
 
     /// The pause before the next look at a worker that has answered: an end answers a look before its wait is over.
     pub(crate) fn hold_gap_ms(&self) -> Millis {
-        (self.stretched(HOLD_WAIT_MS) - HOLD_WAIT_MS).min(LONGEST_GAP_MS)
+        (self.stretched(RENEWAL_WAIT_MS) - RENEWAL_WAIT_MS).min(LONGEST_GAP_MS)
     }
 
     /// The least time between two passes while so many tasks are left waiting.
     pub(crate) fn pass_pause_ms(&self, waiting: usize) -> Millis {
         let over = self.stretch - NO_STRETCH;
         let by_length = waiting as Millis / WAITING_PER_PAUSE_MS;
-        let pause = PASS_PAUSE_MS.max(by_length) + over;
+        let pause = MIN_PASS_INTERVAL_MS.max(by_length) + over;
         pause.min(LONGEST_PASS_PAUSE_MS)
     }
 
@@ -168,7 +168,7 @@
 
     /// How many orders to start may be without an answer.
     pub(crate) fn starts_at_once(&self) -> usize {
-        let stretched = STARTS_AT_ONCE * NO_STRETCH as usize / self.stretch as usize;
+        let stretched = MAX_UNANSWERED_STARTS * NO_STRETCH as usize / self.stretch as usize;
         stretched.max(FEWEST_STARTS)
     }
 }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -10,7 +10,8 @@
 use crate::ids::RunKey;
 use crate::life::{ClockSight, LifeState};
 use crate::limits::{
-    ACKNOWLEDGED_WITHIN_MS, ANSWER_SOON_MS, SILENT_AFTER_MS, START_ANSWER_MS, SUSPECT_AFTER_HOLDS,
+    ACK_START_WAIT_MS, FIRST_ANSWER_TIMEOUT_MS, MAX_HEARD_AGE_FOR_ACK_MS,
+    SUSPECT_AFTER_FAILED_RENEWALS, WORKER_SILENCE_TIMEOUT_MS,
 };
 use crate::press::{FillLoads, PressEstimate};
 use crate::reports::WorkerListing;
@@ -175,7 +176,7 @@
         let sure = |record: &RunRecord| {
             record.listed || record.answered_at.is_some() || record.ordered_at == now
         };
-        let fresh = now <= self.last_answer + ACKNOWLEDGED_WITHIN_MS;
+        let fresh = now <= self.last_answer + MAX_HEARD_AGE_FOR_ACK_MS;
         fresh && !self.unsure && self.runs.values().all(sure)
     }
 
@@ -192,7 +193,7 @@
     /// Whether a start was ordered a moment ago whose answer is due.
     pub(crate) fn awaits_start(&self, now: Millis) -> bool {
         let awaited = |record: &RunRecord| {
-            record.phase == RunPhase::Ordered && now < record.ordered_at + START_ANSWER_MS
+            record.phase == RunPhase::Ordered && now < record.ordered_at + ACK_START_WAIT_MS
         };
         self.runs.values().any(awaited)
     }
@@ -204,15 +205,15 @@
         } else {
             0
         };
-        let quiet = SILENT_AFTER_MS + self.hold_gap + waits;
+        let quiet = WORKER_SILENCE_TIMEOUT_MS + self.hold_gap + waits;
         self.told_silent || now.saturating_sub(self.last_answer) > quiet
     }
 
     /// Whether it is to be marked as silent: two holds on end got no answer, or it has not answered a new owner soon. A single
     /// call that gets lost says nothing, and while a mark stands nothing prolongs the lease.
     pub(crate) fn is_suspect(&self, now: Millis) -> bool {
-        let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
-        self.failed_holds >= SUSPECT_AFTER_HOLDS || !self.life.fenced && late
+        let late = now.saturating_sub(self.last_answer) > FIRST_ANSWER_TIMEOUT_MS;
+        self.failed_holds >= SUSPECT_AFTER_FAILED_RENEWALS || !self.life.fenced && late
     }
 
     /// Whether its entry is of another life than the present one, which may be of another kind, have another room or be about to leave.
