--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -68,7 +68,7 @@
             crashed,
         });
         let strengths = self.due_strengths(now);
-        self.out.push(JobAction::Commit(CommitBatch {
+        self.actions.push(JobAction::Commit(CommitBatch {
             id: self.commit_count,
             progress,
             pending,
@@ -167,7 +167,7 @@
 
     /// The numbers of waiting jobs, where they changed and are due to be published.
     fn changed_pending(&mut self, now: Millis) -> Option<BTreeMap<String, u64>> {
-        if self.state_pending || now < self.pending_at + PENDING_PUBLISH_INTERVAL_MS {
+        if self.state_pending || now < self.pending_published_at + PENDING_PUBLISH_INTERVAL_MS {
             return None;
         }
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
@@ -176,11 +176,11 @@
                 *counts.entry(job.spec.queue.clone()).or_default() += 1;
             }
         }
-        if counts == self.pending {
+        if counts == self.pending_counts {
             return None;
         }
-        self.pending_at = now;
-        self.pending = counts.clone();
+        self.pending_published_at = now;
+        self.pending_counts = counts.clone();
         Some(counts)
     }
 }
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/holds.rs
@@ -279,7 +279,7 @@
     fn is_foreign(&self, now: Millis, key: &RunKey) -> bool {
         let job = &key.task.job;
         let unknown = !self.jobs.contains_key(job) && !self.finished.contains(job);
-        unknown && (self.state_pending || now < self.began_at + FOREIGN_RUN_RETENTION_MS)
+        unknown && (self.state_pending || now < self.claimed_at + FOREIGN_RUN_RETENTION_MS)
     }
 
     /// Takes over a run that an earlier owner started, or takes one back that was given up: started anew beside it the task would run twice.
@@ -287,7 +287,7 @@
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step(&key.task));
         if step.is_some_and(|step| step.waits(key.task.index, false)) {
-            self.forget_waiting(|wait| wait.task == key.task);
+            self.remove_waiting(|wait| wait.task == key.task);
         }
         let job = self.jobs.get_mut(&key.task.job);
         if let Some(task) = job.and_then(|job| job.task_mut(&key.task)) {
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -23,18 +23,24 @@
 
 impl JobScheduler {
     /// Takes in what a new owner has read of jobs beside their rows.
-    pub(crate) fn take_state(
+    pub(crate) fn apply_recovered_state(
         &mut self,
         progress: BTreeMap<JobNumber, ProgressRow>,
         claim_version: u64,
     ) {
-        self.inherited = progress;
+        self.inherited_progress = progress;
         self.claim_version = claim_version;
         self.state_pending = false;
     }
 
     /// Takes in a job; one that is known or has ended is passed over.
-    pub(crate) fn take_job(&mut self, now: Millis, number: JobNumber, version: u64, spec: JobSpec) {
+    pub(crate) fn handle_job_listed(
+        &mut self,
+        now: Millis,
+        number: JobNumber,
+        version: u64,
+        spec: JobSpec,
+    ) {
         if self.jobs.contains_key(&number) || self.finished.contains(&number) {
             return;
         }
@@ -42,9 +48,9 @@
             self.images.intern(&step.image);
         }
         let inherited = version <= self.claim_version;
-        let age = if inherited { self.age_of(&spec) } else { 0 };
+        let age = if inherited { self.job_age_ms(&spec) } else { 0 };
         let mut job = JobState::new(number, spec, now, age, inherited);
-        if let Some(row) = self.inherited.remove(&number) {
+        if let Some(row) = self.inherited_progress.remove(&number) {
             if row.stage.is_final() {
                 self.keep_rooms(now, number, &job.spec);
                 self.finished.insert(number);
@@ -71,7 +77,7 @@
     }
 
     /// How long ago a job was handed in, by the time of day; 0 where that is not known.
-    fn age_of(&self, spec: &JobSpec) -> Millis {
+    fn job_age_ms(&self, spec: &JobSpec) -> Millis {
         match spec.handed_in_ms {
             0 => 0,
             handed_in => self.wall_ms.saturating_sub(handed_in).min(OLDEST_JOB_MS),
@@ -79,7 +85,7 @@
     }
 
     /// Adds the repetitions that are due.
-    pub(crate) fn open_due_times(&mut self, now: Millis) {
+    pub(crate) fn open_due_repetitions(&mut self, now: Millis) {
         let timed = |job: &&JobState| job.next_time < job.time_count();
         let due: Vec<JobNumber> = self
             .jobs
@@ -134,7 +140,7 @@
         self.finished_at.push_back((now, number));
         self.final_rows.insert(number, job.progress());
         if job.has_waiting_task() {
-            self.forget_waiting(|wait| wait.task.job == number);
+            self.remove_waiting(|wait| wait.task.job == number);
             self.delayed.retain(|(_, key)| key.job != number);
         }
         for key in job.live_tasks() {
@@ -191,7 +197,7 @@
 
     /// Notes whose entries can't be read. Such an entry names no worker to use, so that nothing new goes there; what runs there is
     /// held as long as the worker answers, which a foreign hand in the list says nothing about.
-    pub(crate) fn note_unreadable(&mut self, unreadable: &[WorkerId]) {
+    pub(crate) fn mark_unreadable(&mut self, unreadable: &[WorkerId]) {
         for id in unreadable {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.unreadable = true;
@@ -209,7 +215,7 @@
     }
 
     /// Takes in the list of workers.
-    pub(crate) fn take_list(&mut self, now: Millis, list: Vec<WorkerListing>) {
+    pub(crate) fn handle_worker_list(&mut self, now: Millis, list: Vec<WorkerListing>) {
         let named: BTreeSet<WorkerId> = list.iter().map(|entry| entry.worker.clone()).collect();
         if now > self.last_list + MAX_LIST_GAP_MS {
             self.lists_since = now;
@@ -223,7 +229,7 @@
         }
         for entry in list {
             if self.workers.contains_key(&entry.worker) || self.serves_a_queue(&entry) {
-                self.take_entry(now, entry);
+                self.apply_worker_entry(now, entry);
             }
         }
         for worker in self.workers.values_mut() {
@@ -235,7 +241,7 @@
         self.room_changed = true;
     }
 
-    fn take_entry(&mut self, now: Millis, entry: WorkerListing) {
+    fn apply_worker_entry(&mut self, now: Millis, entry: WorkerListing) {
         let id = entry.worker.clone();
         let known = self.workers.contains_key(&id);
         let replaced = |(other, worker): (&WorkerId, &WorkerState)| {
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -34,7 +34,7 @@
         let keys: Vec<TaskKey> = jobs.flat_map(JobState::unfound_tasks).collect();
         if over {
             self.note(JobNote::TakeoverOver {
-                waited_ms: now.saturating_sub(self.began_at),
+                waited_ms: now.saturating_sub(self.claimed_at),
                 unanswered,
                 unfound: keys.len(),
             });
@@ -71,11 +71,11 @@
 
     /// An earlier owner may have ended between the removal of a job and that of its progress: what is left is removed in time.
     fn forget_leftovers(&mut self, now: Millis) {
-        let inherited = self.inherited.iter();
+        let inherited = self.inherited_progress.iter();
         let over = inherited.filter(|(_, row)| row.stage.is_final());
         let over: Vec<JobNumber> = over.map(|(number, _)| *number).collect();
         for number in over {
-            self.inherited.remove(&number);
+            self.inherited_progress.remove(&number);
             self.finished.insert(number);
             self.finished_at.push_back((now, number));
         }
@@ -90,10 +90,10 @@
     /// Keeps the roster to the workers that may hold tasks: a successor waits for the answer of each of them. With leaving
     /// workers left in it until they were gone, three that had ended all their work held up every unfound task for 11 s.
     pub(crate) fn refresh_roster(&mut self, now: Millis) {
-        if now < self.roster_looked + ROSTER_CHECK_INTERVAL_MS {
+        if now < self.roster_checked_at + ROSTER_CHECK_INTERVAL_MS {
             return;
         }
-        self.roster_looked = now;
+        self.roster_checked_at = now;
         for (id, worker) in &self.workers {
             let changed = match worker.may_hold_tasks() || self.foreign.names(id) {
                 true => !self.roster.contains(id) && self.roster.insert(id.clone()),
--- a/crates/jobs/src/rooms.rs
+++ b/crates/jobs/src/rooms.rs
@@ -30,7 +30,7 @@
     /// Keeps what the tasks of a job take that has ended, as long as workers may yet report its runs to a new owner. Without it such a run
     /// counted as nothing until it had stopped, and its worker was given more than it had.
     pub(crate) fn keep_rooms(&mut self, now: Millis, number: JobNumber, spec: &JobSpec) {
-        if now < self.began_at + FOREIGN_RUN_RETENTION_MS {
+        if now < self.claimed_at + FOREIGN_RUN_RETENTION_MS {
             let rooms = spec.steps.iter().map(|step| step.room()).collect();
             self.ended_rooms.by_job.insert(number, rooms);
         }
@@ -39,7 +39,7 @@
     /// Forgets what ended jobs take, and what became known of jobs that never came, once all that an earlier owner started has been
     /// reported.
     pub(crate) fn forget_rooms(&mut self, now: Millis) {
-        if now >= self.began_at + FOREIGN_RUN_RETENTION_MS {
+        if now >= self.claimed_at + FOREIGN_RUN_RETENTION_MS {
             self.ended_rooms.by_job.clear();
             self.crashes.forget_awaited();
         }
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -70,7 +70,7 @@
     pub(crate) state_pending: bool,
     pub(crate) wall_ms: u64,
     pub(crate) jobs: BTreeMap<JobNumber, JobState>,
-    pub(crate) inherited: BTreeMap<JobNumber, ProgressRow>,
+    pub(crate) inherited_progress: BTreeMap<JobNumber, ProgressRow>,
     pub(crate) finished: HashSet<JobNumber>,
     pub(crate) finished_at: VecDeque<(Millis, JobNumber)>,
     pub(crate) final_rows: BTreeMap<JobNumber, ProgressRow>,
@@ -89,11 +89,11 @@
     pub(crate) commit: Option<PendingCommit>,
     pub(crate) commit_count: u64,
     pub(crate) last_commit: Millis,
-    pub(crate) pending: BTreeMap<String, u64>,
-    pub(crate) pending_at: Millis,
+    pub(crate) pending_counts: BTreeMap<String, u64>,
+    pub(crate) pending_published_at: Millis,
     pub(crate) roster: BTreeSet<WorkerId>,
     pub(crate) roster_changed: bool,
-    pub(crate) roster_looked: Millis,
+    pub(crate) roster_checked_at: Millis,
     /// Stops that were sent, with when each is looked at again.
     pub(crate) stop_queue: VecDeque<(Millis, WorkerId, RunKey)>,
     /// The workers in their order, until one comes or goes.
@@ -113,7 +113,7 @@
     pub(crate) store_clock: StoreClock,
     pub(crate) marks: MarkBook,
     pub(crate) recovery: Option<Recovery>,
-    pub(crate) began_at: Millis,
+    pub(crate) claimed_at: Millis,
     pub(crate) foreign: ForeignRuns,
     pub(crate) ended_rooms: EndedRooms,
     pub(crate) quarantine: QuarantineBook,
@@ -126,7 +126,7 @@
     pub(crate) last_pass: Millis,
     /// What the last pass need not have tried, where it was cut short.
     pub(crate) vain_tries: Option<VainTries>,
-    pub(crate) workers_looked: Millis,
+    pub(crate) workers_checked_at: Millis,
     /// Whether the last pass left tasks waiting.
     pub(crate) pass_left_some: bool,
     pub(crate) last_move: Millis,
@@ -139,7 +139,7 @@
     /// Since when it is not.
     pub(crate) unsure_since: Option<Millis>,
     pub(crate) deposed: bool,
-    pub(crate) out: Vec<JobAction>,
+    pub(crate) actions: Vec<JobAction>,
 }
 
 impl JobScheduler {
@@ -155,7 +155,7 @@
             state_pending: info.state_pending,
             wall_ms: info.wall_ms,
             jobs: BTreeMap::new(),
-            inherited: info.progress,
+            inherited_progress: info.progress,
             finished: HashSet::new(),
             finished_at: VecDeque::new(),
             final_rows: BTreeMap::new(),
@@ -172,12 +172,12 @@
             commit: None,
             commit_count: 0,
             last_commit: 0,
-            pending: BTreeMap::new(),
+            pending_counts: BTreeMap::new(),
             // Jobs are taken in one after the other: their number is published once all are known.
-            pending_at: info.claimed_at,
+            pending_published_at: info.claimed_at,
             roster: BTreeSet::new(),
             roster_changed: false,
-            roster_looked: 0,
+            roster_checked_at: 0,
             stop_queue: VecDeque::new(),
             worker_order: None,
             hold_queue: BTreeSet::new(),
@@ -190,7 +190,7 @@
             lease_published: info.epoch == FIRST_EPOCH || inherited_lease_ms >= own_lease_ms,
             store_clock: StoreClock::default(),
             marks: MarkBook::default(),
-            began_at: info.claimed_at,
+            claimed_at: info.claimed_at,
             foreign: ForeignRuns::default(),
             ended_rooms: EndedRooms::default(),
             recovery: Some(Recovery {
@@ -209,7 +209,7 @@
             room_changed: false,
             last_pass: 0,
             vain_tries: None,
-            workers_looked: 0,
+            workers_checked_at: 0,
             pass_left_some: false,
             last_move: 0,
             strain: WorkStrain::default(),
@@ -218,7 +218,7 @@
             sure_until: Millis::MAX,
             unsure_since: None,
             deposed: false,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         scheduler
             .press
@@ -260,7 +260,7 @@
             if self.deposed {
                 break;
             }
-            self.take_event(now, event);
+            self.handle_event(now, event);
         }
         if self.deposed {
             return vec![JobAction::Deposed];
@@ -268,23 +268,23 @@
         self.place_waiting(now);
         self.send_holds(now);
         self.begin_commit(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    fn take_event(&mut self, now: Millis, event: JobEvent) {
+    fn handle_event(&mut self, now: Millis, event: JobEvent) {
         match event {
             JobEvent::JobListed {
                 number,
                 version,
                 spec,
-            } => self.take_job(now, number, version, *spec),
+            } => self.handle_job_listed(now, number, version, *spec),
             JobEvent::StateRead {
                 progress,
                 claim_version,
-            } => self.take_state(progress, claim_version),
+            } => self.apply_recovered_state(progress, claim_version),
             JobEvent::CancelAsked(number) => self.cancel_job(now, number),
-            JobEvent::WorkersUnreadable(workers) => self.note_unreadable(&workers),
-            JobEvent::WorkersListed(list) => self.take_list(now, list),
+            JobEvent::WorkersUnreadable(workers) => self.mark_unreadable(&workers),
+            JobEvent::WorkersListed(list) => self.handle_worker_list(now, list),
             JobEvent::StoreClock { at, at_most_ms } => self.store_clock.note(at, at_most_ms),
             JobEvent::QueuesChanged(queues) => self.queues = queues,
             JobEvent::HallsEvacuated(halls) => self.take_evacuated(now, halls),
@@ -313,13 +313,13 @@
         }
         self.last_tick = now;
         self.look_at_tenure(now);
-        self.open_due_times(now);
+        self.open_due_repetitions(now);
         self.release_delayed(now);
         self.check_recovery(now);
         self.note_own_leases(now);
         let sure = !self.may_be_followed(now);
-        if sure && now >= self.workers_looked + WORKER_CHECK_INTERVAL_MS {
-            self.workers_looked = now;
+        if sure && now >= self.workers_checked_at + WORKER_CHECK_INTERVAL_MS {
+            self.workers_checked_at = now;
             self.check_workers(now);
             self.move_standing_tasks(now);
             self.free_kept(now);
@@ -350,7 +350,7 @@
         let Some(state) = self.workers.get(worker) else {
             return;
         };
-        self.out.push(JobAction::Call {
+        self.actions.push(JobAction::Call {
             worker: worker.clone(),
             address: state.entry.address,
             call,
@@ -358,7 +358,7 @@
     }
 
     pub(crate) fn note(&mut self, note: JobNote) {
-        self.out.push(JobAction::Note(note));
+        self.actions.push(JobAction::Note(note));
     }
 
     /// Puts a task that may be started into the queue; a gang waits as a whole, by its first task.
@@ -399,7 +399,7 @@
 
     /// Takes tasks out of the queue. All that wait are looked at, so that it is done only where something of the step or job
     /// waits: done for each end, beside 3,400 waiting tasks, it took 0.1 ms, two thirds of what an owner had.
-    pub(crate) fn forget_waiting(&mut self, gone: impl Fn(&WaitKey) -> bool) {
+    pub(crate) fn remove_waiting(&mut self, gone: impl Fn(&WaitKey) -> bool) {
         self.waiting.retain(|wait| !gone(wait));
     }
 
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -165,7 +165,7 @@
                 task.stage = TaskStage::Unfound;
             }
         }
-        self.forget_waiting(|wait| wait.task == *key);
+        self.remove_waiting(|wait| wait.task == *key);
     }
 
     /// Whether a run was ordered by an earlier owner, and this one has not given it up.
@@ -207,7 +207,7 @@
             step.done += 1;
         }
         if waited {
-            self.forget_waiting(|wait| wait.task == key);
+            self.remove_waiting(|wait| wait.task == key);
         }
         self.note_begun(&key);
         self.mark_dirty(key.job);
