--- a/crates/jobs/src/relay/dispatcher.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The owner's side: which order goes through which relay, and what has no answer yet.
+//! The owner's side: routes orders through relays and tracks the orders that have no answer yet.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,76 +9,77 @@
     OrderBatch, RelayFault, RelayHandshake, RelayMessage, RelayedAnswer, RelayedOrder,
     RELAY_VERSION,
 };
+use super::plan::{calls_alone, RelayCandidate, RelayPlan};
 use super::quorum::OutageQuorum;
-use super::share::{calls_alone, RelayPlan, RelayShare};
 use crate::events::{JobEvent, WorkerCall};
 use crate::ids::RunKey;
 use crate::reports::{OrderAnswer, RenewalAnswer};
 
-/// How long an answer is waited for beside the wait that a hold asks for: a relay gives a worker up after 0.5 s, and its own
-/// turn with the ways there and back take some 10 ms, on a weak host under load up to 0.3 s.
-pub(super) const ANSWER_WITHIN_MS: Millis = 1_000;
-/// How often orders without an answer are looked at.
-const LOOK_EVERY_MS: Millis = 100;
-/// A relay that tells nothing for so long is lost; it is asked to say that it lives.
+/// The timeout of a relayed order, in addition to the wait that a lease renewal requests. A relay gives up on a worker after 0.5 s; its
+/// own processing and both network trips take some 10 ms, on a weak host under load up to 0.3 s.
+pub(super) const ANSWER_TIMEOUT_MS: Millis = 1_000;
+/// How often open orders and relays are checked for timeouts.
+const TIMEOUT_CHECK_INTERVAL_MS: Millis = 100;
+/// A relay that has sent nothing for this long is lost. Quiet relays are sent heartbeats, which they answer.
 const RELAY_SILENCE_TIMEOUT_MS: Millis = 6_000;
-/// How often a relay in use is told that its owner lives, where it is given no orders: relays take an owner that gave them orders
-/// for gone after three times as long.
-const BEAT_EVERY_MS: Millis = 500;
-/// How often one that is not in use is told so.
-const IDLE_BEAT_MS: Millis = 2_000;
-/// A host that leaves orders without an answer twice within this time is slow or cut off, not just without a connection.
-const LOSSES_WITHIN_MS: Millis = 10_000;
-/// For how long such a host carries none.
-const SHUNNED_MS: Millis = 5_000;
-/// Names a relay's connection.
+/// The interval of heartbeats to a relay that is in use but gets no orders. Relays consider an owner that gave them orders gone after three
+/// times as long.
+const HEARTBEAT_INTERVAL_MS: Millis = 500;
+/// The interval of heartbeats to a relay that is not in use.
+const IDLE_HEARTBEAT_INTERVAL_MS: Millis = 2_000;
+/// A host whose relay is lost twice within this time is considered slow or cut off, rather than just disconnected once, and is excluded.
+const REPEATED_LOSS_WINDOW_MS: Millis = 10_000;
+/// How long an excluded host gets no orders.
+const EXCLUSION_MS: Millis = 5_000;
+
+/// Identifies the connection of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RelayNumber(pub u64);
 
-/// The way that an order takes.
+/// The route of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderRoute {
-    /// The owner calls the worker itself: the order comes back.
+    /// The owner calls the worker itself; contains the call.
     Direct(WorkerCall),
-    /// Through a relay.
+    /// The order goes through this relay.
     Relayed(RelayNumber),
 }
 
-/// What a message of a relay, or the passing of time, leads to.
+/// The outcome of a message from a relay, or of a timeout check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RelayOutcome {
-    /// What the scheduler is to be told.
+    /// The events for the scheduler.
     pub events: Vec<JobEvent>,
-    /// Relays that are lost; their connections are to be closed.
+    /// The lost relays, whose connections are to be closed.
     pub lost: Vec<RelayNumber>,
-    /// What was passed over.
+    /// Why the message or answers in it were ignored.
     pub faults: Vec<RelayFault>,
-    /// An owner of this newer epoch was seen by a host.
+    /// The newer epoch of another owner that a host has seen, if any.
     pub followed_by: Option<Epoch>,
 }
 
-/// An owner's figures of its relays.
+/// The counts of an owner's relays and relayed orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatcherStats {
-    /// Hosts that offer to carry orders.
+    /// The number of hosts that offer to relay orders.
     pub offered: usize,
-    /// Those that carry some.
+    /// The number of those hosts that are in use.
     pub in_use: usize,
-    /// Orders under way through relays.
+    /// The number of relayed orders without an answer.
     pub open: usize,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RelayState {
-    share: RelayShare,
+    candidate: RelayCandidate,
     last_heard: Millis,
-    last_told: Millis,
+    last_sent_at: Millis,
     outbox: Vec<RelayedOrder>,
-    /// Whether it is about to stop and takes no more.
+    /// Whether the relay is about to stop and takes no more orders.
     leaves: bool,
 }
 
-/// What an order was, to make its event.
+/// The kind of an order, from which the event of its answer is made.
 #[derive(Clone, Copy, Debug)]
 enum OrderKind {
     Start(RunKey),
@@ -95,29 +96,29 @@
     until: Millis,
 }
 
-/// The relays of an owner, for as long as it is one.
+/// Routes the orders of one owner through its relays.
 #[derive(Clone, Debug)]
 pub struct RelayDispatcher {
     pub(super) epoch: Epoch,
     processor_millis: u64,
     pub(super) relays: BTreeMap<RelayNumber, RelayState>,
     relay_count: u64,
-    /// When a host last left orders without an answer.
+    /// When the relay of each host was last lost.
     lost_at: BTreeMap<HostId, Millis>,
-    /// Until when a host carries no orders.
-    shunned: BTreeMap<HostId, Millis>,
+    /// The hosts that get no orders, each with the time at which that ends.
+    excluded: BTreeMap<HostId, Millis>,
     pub(super) halls: HashMap<WorkerId, HallId>,
-    /// Made anew at the first order after a change of workers or relays.
+    /// Created again at the first order after a change of workers or relays.
     plan: Option<RelayPlan>,
     routes: HashMap<WorkerId, Option<RelayNumber>>,
     open: HashMap<u64, OpenOrder>,
     order_count: u64,
-    looked_at: Millis,
+    checked_at: Millis,
     pub(super) quorum: OutageQuorum,
 }
 
 impl RelayDispatcher {
-    /// Starts without relays, for an owner of an epoch that has so many thousandths of a core.
+    /// Creates a dispatcher without relays for the owner of an epoch, which has this many thousandths of a processor core.
     pub fn new(epoch: Epoch, processor_millis: u64) -> Self {
         Self {
             epoch,
@@ -125,18 +126,18 @@
             relays: BTreeMap::new(),
             relay_count: 0,
             lost_at: BTreeMap::new(),
-            shunned: BTreeMap::new(),
+            excluded: BTreeMap::new(),
             halls: HashMap::new(),
             plan: None,
             routes: HashMap::new(),
             open: HashMap::new(),
             order_count: 0,
-            looked_at: 0,
+            checked_at: 0,
             quorum: OutageQuorum::default(),
         }
     }
 
-    /// Notes the workers that there are, with their halls.
+    /// Sets the known workers and their halls.
     pub fn note_workers(&mut self, workers: impl IntoIterator<Item = (WorkerId, HallId)>) {
         let halls: HashMap<WorkerId, HallId> = workers.into_iter().collect();
         if halls != self.halls {
@@ -145,10 +146,10 @@
         }
     }
 
-    /// Takes a relay in; an earlier connection of the same host is to be closed by whoever holds it.
+    /// Adds a relay. The caller has to close an earlier connection of the same host.
     ///
     /// # Errors
-    /// It speaks another version.
+    /// The relay uses another message version.
     pub fn join(
         &mut self,
         now: Millis,
@@ -160,30 +161,30 @@
         self.relay_count += 1;
         let number = RelayNumber(self.relay_count);
         let state = RelayState {
-            share: RelayShare {
+            candidate: RelayCandidate {
                 relay: number,
                 host: handshake.host,
                 hall: handshake.hall,
                 processor_millis: handshake.processor_millis,
             },
             last_heard: now,
-            last_told: now,
+            last_sent_at: now,
             outbox: Vec::new(),
             leaves: false,
         };
-        let RelayShare { host, hall, .. } = &state.share;
-        self.quorum.note_linked(host, hall);
+        let RelayCandidate { host, hall, .. } = &state.candidate;
+        self.quorum.note_connected(host, hall);
         self.relays.insert(number, state);
         self.forget_plan();
         Ok(number)
     }
 
-    /// Gives a relay up: what it had under way may have been done, or may be done later.
+    /// Removes a relay. Returns its open orders as unanswered: they may have been carried out, or may be carried out later.
     pub fn leave(&mut self, now: Millis, relay: RelayNumber) -> Vec<JobEvent> {
         let Some(gone) = self.relays.remove(&relay) else {
             return Vec::new();
         };
-        self.quorum.note_unlinked(now, &gone.share.host);
+        self.quorum.note_disconnected(now, &gone.candidate.host);
         self.forget_plan();
         let lost = self.open.iter().filter(|(_, order)| order.relay == relay);
         let mut lost: Vec<u64> = lost.map(|(number, _)| *number).collect();
@@ -194,7 +195,7 @@
         lost.map(|order| order.unanswered()).collect()
     }
 
-    /// Chooses the way of an order; one that goes through a relay waits for [`RelayDispatcher::take_messages`].
+    /// Chooses the route of an order. An order through a relay is queued until [`RelayDispatcher::take_messages`].
     pub fn route(
         &mut self,
         now: Millis,
@@ -219,7 +220,7 @@
             relay: number,
             worker: worker.clone(),
             kind,
-            until: now + wait_ms + ANSWER_WITHIN_MS,
+            until: now + wait_ms + ANSWER_TIMEOUT_MS,
         };
         self.open.insert(self.order_count, order);
         relay.outbox.push(RelayedOrder {
@@ -231,19 +232,19 @@
         OrderRoute::Relayed(number)
     }
 
-    /// The host that the newest order to a worker went through.
+    /// The host that relayed the newest order to a worker; none if the owner called the worker itself.
     pub fn carrier(&self, worker: &WorkerId) -> Option<&HostId> {
         let number = (*self.routes.get(worker)?)?;
-        Some(&self.relays.get(&number)?.share.host)
+        Some(&self.relays.get(&number)?.candidate.host)
     }
 
-    /// The orders that wait to be told, one message for each relay.
+    /// Takes the queued orders, one message for each relay.
     pub fn take_messages(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
         let epoch = self.epoch;
         let waiting = self.relays.iter_mut();
         let waiting = waiting.filter(|(_, relay)| !relay.outbox.is_empty());
-        let told = waiting.map(|(number, relay)| {
-            relay.last_told = now;
+        let messages = waiting.map(|(number, relay)| {
+            relay.last_sent_at = now;
             let orders = std::mem::take(&mut relay.outbox);
             let batch = OrderBatch {
                 epoch,
@@ -252,10 +253,10 @@
             };
             (*number, RelayMessage::Orders(batch))
         });
-        told.collect()
+        messages.collect()
     }
 
-    /// Takes in a relay's answers. Those to orders that it doesn't carry change nothing: they came too late, or another relay
+    /// Handles a message of a relay. Answers to orders that the relay doesn't carry are ignored: they arrived too late, or another relay
     /// was given the order.
     pub fn handle_message(
         &mut self,
@@ -263,29 +264,30 @@
         relay: RelayNumber,
         message: RelayMessage,
     ) -> RelayOutcome {
-        let mut intake = RelayOutcome::default();
+        let mut outcome = RelayOutcome::default();
         let (epoch, answers, leaves) = match message {
             RelayMessage::Answers(epoch, answers) => (epoch, answers, false),
             RelayMessage::Leaves(epoch) => (epoch, Vec::new(), true),
-            RelayMessage::ShardReply(epoch, number, sight) => {
+            RelayMessage::ShardReply(epoch, number, observation) => {
                 if let Some(state) = self.relays.get(&relay).filter(|_| epoch == self.epoch) {
-                    self.quorum.take(&state.share.host, number, sight);
-                    intake.followed_by = Some(sight.epoch).filter(|seen| *seen > epoch);
+                    self.quorum
+                        .record_reply(&state.candidate.host, number, observation);
+                    outcome.followed_by = Some(observation.epoch).filter(|seen| *seen > epoch);
                 }
                 (epoch, Vec::new(), false)
             }
             RelayMessage::Orders(..) | RelayMessage::ShardQuery(..) => {
-                intake.faults.push(RelayFault::Misdirected);
-                return intake;
+                outcome.faults.push(RelayFault::Misdirected);
+                return outcome;
             }
         };
         let Some(state) = self.relays.get_mut(&relay) else {
-            intake.faults.push(RelayFault::UnknownRelay);
-            return intake;
+            outcome.faults.push(RelayFault::UnknownRelay);
+            return outcome;
         };
         if epoch != self.epoch {
-            intake.faults.push(RelayFault::OtherEpoch(epoch));
-            return intake;
+            outcome.faults.push(RelayFault::OtherEpoch(epoch));
+            return outcome;
         }
         state.last_heard = now;
         if leaves && !state.leaves {
@@ -294,11 +296,11 @@
         }
         for (number, answer) in answers {
             match self.answer(relay, number, answer) {
-                Ok(event) => intake.events.push(event),
-                Err(fault) => intake.faults.push(fault),
+                Ok(event) => outcome.events.push(event),
+                Err(fault) => outcome.faults.push(fault),
             }
         }
-        intake
+        outcome
     }
 
     fn answer(
@@ -315,13 +317,13 @@
         Ok(event)
     }
 
-    /// Gives up relays that leave orders without an answer or say nothing, and asks quiet ones to say that they live.
+    /// Removes relays that have exceeded the timeout of an order or that are silent.
     pub fn tick(&mut self, now: Millis) -> RelayOutcome {
-        let mut intake = RelayOutcome::default();
-        if now < self.looked_at + LOOK_EVERY_MS {
-            return intake;
+        let mut outcome = RelayOutcome::default();
+        if now < self.checked_at + TIMEOUT_CHECK_INTERVAL_MS {
+            return outcome;
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let late = self.open.values().filter(|order| now > order.until);
         let mut lost: Vec<RelayNumber> = late.map(|order| order.relay).collect();
         let silent = self.relays.iter();
@@ -330,41 +332,45 @@
         lost.sort_unstable();
         lost.dedup();
         for number in &lost {
-            self.note_loss(now, *number);
-            intake.events.extend(self.leave(now, *number));
+            self.record_loss(now, *number);
+            outcome.events.extend(self.leave(now, *number));
         }
-        intake.lost = lost;
-        let before = self.shunned.len();
-        self.shunned.retain(|_, until| now < *until);
-        if self.shunned.len() < before {
+        outcome.lost = lost;
+        let before = self.excluded.len();
+        self.excluded.retain(|_, until| now < *until);
+        if self.excluded.len() < before {
             self.forget_plan();
         }
-        intake
+        outcome
     }
 
-    fn note_loss(&mut self, now: Millis, relay: RelayNumber) {
+    fn record_loss(&mut self, now: Millis, relay: RelayNumber) {
         let Some(relay) = self.relays.get(&relay) else {
             return;
         };
-        let host = relay.share.host.clone();
+        let host = relay.candidate.host.clone();
         let before = self.lost_at.insert(host.clone(), now);
-        if before.is_some_and(|at| now < at + LOSSES_WITHIN_MS) {
-            self.shunned.insert(host, now + SHUNNED_MS);
+        if before.is_some_and(|at| now < at + REPEATED_LOSS_WINDOW_MS) {
+            self.excluded.insert(host, now + EXCLUSION_MS);
         }
     }
 
-    /// The relays that are to be told that the owner lives, which they answer.
+    /// Takes the heartbeats that are due. Relays answer them.
     pub fn take_heartbeats(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
         let epoch = self.epoch;
         let plan = self.plan.as_ref();
         let due = self.relays.iter_mut();
         let due = due.filter(|(number, relay)| {
             let in_use = plan.is_some_and(|plan| plan.uses(**number));
-            let every_ms = if in_use { BEAT_EVERY_MS } else { IDLE_BEAT_MS };
-            now >= relay.last_told + every_ms
+            let every_ms = if in_use {
+                HEARTBEAT_INTERVAL_MS
+            } else {
+                IDLE_HEARTBEAT_INTERVAL_MS
+            };
+            now >= relay.last_sent_at + every_ms
         });
-        let told = due.map(|(number, relay)| {
-            relay.last_told = now;
+        let messages = due.map(|(number, relay)| {
+            relay.last_sent_at = now;
             let batch = OrderBatch {
                 epoch,
                 sent_at: now,
@@ -372,10 +378,10 @@
             };
             (*number, RelayMessage::Orders(batch))
         });
-        told.collect()
+        messages.collect()
     }
 
-    /// The figures by now.
+    /// The current counts.
     pub fn stats(&self) -> DispatcherStats {
         DispatcherStats {
             offered: self.relays.len(),
@@ -404,10 +410,10 @@
                     *by_hall.entry(hall.clone()).or_default() += 1;
                 }
                 let stay = self.relays.values().filter(|relay| !relay.leaves);
-                let relays = stay.map(|relay| relay.share.clone());
+                let relays = stay.map(|relay| relay.candidate.clone());
                 let fit = relays.filter(|relay| {
-                    let shunned = self.shunned.get(&relay.host);
-                    shunned.is_none_or(|until| now >= *until)
+                    let excluded = self.excluded.get(&relay.host);
+                    excluded.is_none_or(|until| now >= *until)
                 });
                 self.plan.insert(RelayPlan::new(fit.collect(), &by_hall))
             }
@@ -427,7 +433,7 @@
         self.event(answer).expect("an answer of the order's kind")
     }
 
-    /// What the scheduler is told; none where this can't be an answer to the order.
+    /// The event for the scheduler; none if the answer is not of the kind of the order.
     fn event(&self, answer: RelayedAnswer) -> Option<JobEvent> {
         let worker = self.worker.clone();
         Some(match (self.kind, answer) {
--- a/crates/jobs/src/relay/messages.rs
+++ b/crates/jobs/src/relay/messages.rs
@@ -1,7 +1,8 @@
-//! What an owner and its relays tell each other.
+//! The messages between an owner and its relays.
 //!
-//! Messages are encoded by position without names: an order to hold a worker takes 30 bytes where a call of its own takes 240
-//! and more, and bytes between halls are dear. So hosts of different versions can't share work: the first message names the version.
+//! Messages are encoded by position, without field names: a lease renewal takes 30 bytes, whereas a separate call takes 240 bytes and
+//! more, and traffic between halls is expensive. Hosts of different versions therefore can't work together; the handshake names the
+//! version.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,26 +13,26 @@
 use crate::events::{JobEvent, WorkerCall};
 use crate::reports::{OrderAnswer, RenewalAnswer};
 
-/// The version of these messages; to be raised with each change of a type in them.
+/// The version of these messages. It must be raised with each change of a type in them.
 pub const RELAY_VERSION: u16 = 3;
-/// The most bytes of one message: 256 reports of 500 runs, the most that a worker lists at once, with 60 bytes each are 8 MB.
+/// The most bytes in one message. 256 reports of 500 runs with 60 bytes each take 8 MB; a worker lists at most 500 runs at once.
 pub const LARGEST_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What a relay says first.
+/// The first message on a connection, sent by the relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayHandshake {
-    /// The version that it speaks; stays the first field of every version.
+    /// The message version of the relay. It has to stay the first field in every version.
     pub version: u16,
-    /// The host.
+    /// The relay host.
     pub host: HostId,
-    /// The hall that it stands in: it had better carry orders to workers there.
+    /// The hall in which the host stands. The relay preferably serves workers of that hall.
     pub hall: HallId,
-    /// What it has of a processor core, in thousandths.
+    /// The processor capacity of the host, in thousandths of a core.
     pub processor_millis: u64,
 }
 
 impl RelayHandshake {
-    /// A greeting in this version.
+    /// Creates a handshake in this version.
     pub fn new(host: HostId, hall: HallId, processor_millis: u64) -> Self {
         Self {
             version: RELAY_VERSION,
@@ -42,37 +43,37 @@
     }
 }
 
-/// One order on its way through a relay.
+/// One order that a relay carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedOrder {
-    /// Names the order in its answer.
+    /// Identifies the order in its answer.
     pub number: u64,
-    /// The worker's incarnation.
+    /// The worker.
     pub worker: WorkerId,
-    /// Where it listens.
+    /// The address at which the worker listens.
     pub address: SocketAddr,
-    /// The order.
+    /// The call to the worker.
     pub call: WorkerCall,
 }
 
-/// What became of an order.
+/// The result of a relayed order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RelayedAnswer {
-    /// To an order to start, to stop or to change a pace.
+    /// The result of an order to start or stop a run or to change its pace.
     Order(OrderAnswer),
-    /// To a hold.
+    /// The result of a lease renewal.
     Renewal(RenewalAnswer),
 }
 
 impl RelayedAnswer {
-    /// Notes by how much longer than asked the call took here.
+    /// Sets how much longer than the requested wait the call took at this relay, in milliseconds; only reports carry it.
     pub fn note_carrier_delay(&mut self, late_ms: Millis) {
         if let RelayedAnswer::Renewal(RenewalAnswer::Report(report)) = self {
             report.carrier_late_ms = late_ms;
         }
     }
 
-    /// What an answer to an owner's own call is on its way through a relay; none for any other event.
+    /// Converts the event for the answer to an owner's own call into a relayed answer; none for any other event.
     pub fn of(event: JobEvent) -> Option<Self> {
         match event {
             JobEvent::StartAnswered(_, _, answer)
@@ -96,57 +97,58 @@
     }
 }
 
-/// Orders of one turn of an owner.
+/// The orders that an owner sends to a relay at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrderBatch {
     /// The owner's epoch.
     pub epoch: Epoch,
-    /// When they were sent, on the owner's clock in milliseconds.
+    /// When the orders were sent, on the owner's clock in milliseconds.
     pub sent_at: Millis,
     /// The orders.
     pub orders: Vec<RelayedOrder>,
 }
 
-/// Whatever goes between an owner and a relay behind the greeting; a message without entries only says that the sender lives.
+/// A message between an owner and a relay after the handshake. A batch of orders or answers without entries is a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// An owner's orders.
+    /// Orders of the owner.
     Orders(OrderBatch),
-    /// The answers to orders of an epoch, each with the order's number.
+    /// The answers to orders of an epoch, each with the number of its order.
     Answers(Epoch, Vec<(u64, RelayedAnswer)>),
-    /// A relay is about to stop: it carries out what it was given, and is to be given no more.
+    /// The relay of an epoch is about to stop: it carries out the orders that it has, and must get no more.
     Leaves(Epoch),
-    /// An owner that can't renew its ownership asks what a host knows of the shard, by a question of this number.
+    /// A query of an owner that can't renew its ownership: what does the host know about the shard? Contains the epoch and the query
+    /// number.
     ShardQuery(Epoch, u64),
-    /// What a host knew of the shard when that question came.
+    /// The reply to the query with this number: what the host knew about the shard when it received the query.
     ShardReply(Epoch, u64, ShardObservation),
 }
 
-/// What a host that is not the owner knows of the shard.
+/// What a host that is not the owner knows about the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardObservation {
-    /// The newest epoch that it has seen.
+    /// The newest epoch that the host has seen.
     pub epoch: Epoch,
-    /// How long it certainly doesn't claim the shard from now on, in milliseconds.
+    /// The time from now during which the host certainly doesn't claim the shard, in milliseconds.
     pub claims_after_ms: Millis,
 }
 
-/// Why a message changes nothing.
+/// Why a message, or an answer in it, is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFault {
-    /// It can't be read.
+    /// The message can't be decoded.
     Unreadable,
-    /// It is of this version, which isn't ours.
+    /// The sender uses this version, which differs from ours.
     OtherVersion(u16),
-    /// It is of this epoch, which isn't the one that the connection serves.
+    /// The message is of this epoch, which is not the epoch of the connection.
     OtherEpoch(Epoch),
-    /// It is no message for this side.
+    /// The message is of a kind that only the other side receives.
     Misdirected,
-    /// It answers an order of this number, which the sender doesn't carry.
+    /// The message answers the order with this number, which the sender doesn't carry.
     UnknownOrder(u64),
-    /// It answers the order of this number with what can't be an answer to it.
+    /// The message answers the order with this number by an answer of the wrong kind.
     WrongAnswer(u64),
-    /// The sender is not known.
+    /// The sender is not a known relay.
     UnknownRelay,
 }
 
@@ -168,15 +170,15 @@
 
 impl std::error::Error for RelayFault {}
 
-/// Encodes a greeting.
+/// Encodes a handshake.
 pub fn encode_handshake(handshake: &RelayHandshake) -> Vec<u8> {
     postcard::to_stdvec(handshake).expect("plain structures always encode")
 }
 
-/// Decodes a greeting; one of another version is told apart before the rest of it is read.
+/// Decodes a handshake. The version is checked before the rest of the message is decoded.
 ///
 /// # Errors
-/// Another version, or no greeting at all.
+/// The handshake is of another version, or the bytes are not a handshake.
 pub fn decode_handshake(bytes: &[u8]) -> Result<RelayHandshake, RelayFault> {
     let (version, _) =
         postcard::take_from_bytes::<u16>(bytes).map_err(|_| RelayFault::Unreadable)?;
@@ -194,7 +196,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// It can't be read.
+/// The message can't be decoded.
 pub fn decode_message(bytes: &[u8]) -> Result<RelayMessage, RelayFault> {
     decode_whole(bytes)
 }
--- a/crates/jobs/src/relay/mod.rs
+++ b/crates/jobs/src/relay/mod.rs
@@ -1,20 +1,19 @@
-//! Other hosts carry an owner's orders to workers, and their answers back.
+//! Relays: other hosts that carry an owner's orders to workers, and the answers back.
 //!
-//! An owner decides alone. What costs it most is not the deciding but the calls: each is a request, an answer and two wake-ups on
-//! a connection of its own. So the other hosts connect to the owner and offer themselves; an owner that has more workers than it
-//! can call by itself deals them out, and tells each host many orders in one message.
+//! All decisions are made by the owner. Its main cost is not the decisions but the calls: each is a request, an answer and two wake-ups
+//! on a separate connection. Therefore the other hosts connect to the owner and offer to relay calls. An owner that has more workers than
+//! it can call by itself distributes them over the relays, and sends each relay many orders in one message.
 //!
-//! A relay holds nothing that lasts. To the scheduler an order that goes through one is an order like any other: it is
-//! carried out, refused, or gets no answer ([`OrderAnswer::Unknown`](crate::OrderAnswer::Unknown)), which is what becomes of all
-//! that a lost relay had under way. Orders name the owner's epoch, and workers refuse those of an epoch that is over, whoever
-//! brings them.
+//! A relay has no durable state. To the scheduler an order through a relay is like any other: it is carried out, refused, or gets no
+//! answer ([`OrderAnswer::Unknown`](crate::OrderAnswer::Unknown)), which is the result of all open orders of a lost relay. Orders
+//! carry the owner's epoch, and workers refuse orders of an earlier epoch, whichever host sends them.
 //!
 //! ```
 //! use sandshelf_jobs::relay::{OrderRoute, RelayDispatcher, RelayHandshake, RelayAgent};
 //! use sandshelf_jobs::{RenewalAnswer, RenewalCall, OrderAnswer, WorkerCall};
 //! use sandshelf_model::{HallId, HostId, WorkerId};
 //!
-//! // An owner with a tenth of a core and 100 workers needs help.
+//! // An owner with a tenth of a core and 100 workers needs a relay.
 //! let mut dispatcher = RelayDispatcher::new(7, 100);
 //! dispatcher.note_workers((0..100).map(|number| (WorkerId::from(format!("w-{number}")), HallId::from("north"))));
 //! let handshake = RelayHandshake::new(HostId::from("entry-2"), HallId::from("north"), 500);
@@ -25,7 +24,7 @@
 //! let address = ([10, 0, 0, 1], 80).into();
 //! assert_eq!(dispatcher.route(0, &worker, address, call), OrderRoute::Relayed(relay));
 //!
-//! // What the relay does with it.
+//! // The relay handles the order.
 //! let mut agent = RelayAgent::new(7);
 //! let (_, message) = dispatcher.take_messages(0).pop().expect("one message");
 //! let orders = agent.handle_message(0, message).expect("orders of this epoch");
@@ -36,11 +35,11 @@
 //! ```
 
 mod agent;
+mod delay;
 mod dispatcher;
 mod messages;
+mod plan;
 mod quorum;
-mod share;
-mod way;
 
 pub use agent::RelayAgent;
 pub use dispatcher::{DispatcherStats, OrderRoute, RelayDispatcher, RelayNumber, RelayOutcome};
@@ -49,4 +48,4 @@
     RelayHandshake, RelayMessage, RelayedAnswer, RelayedOrder, ShardObservation,
     LARGEST_MESSAGE_BYTES, RELAY_VERSION,
 };
-pub use share::waits_for_relays;
+pub use plan::waits_for_relays;
--- a/crates/jobs/src/relay/quorum.rs
+++ b/crates/jobs/src/relay/quorum.rs
@@ -1,12 +1,12 @@
-//! What the other hosts say of the shard while its owner can't renew its ownership.
+//! Asks the other hosts about the shard while its owner can't renew its ownership.
 //!
-//! In an outage that all hosts share nobody can claim the shard, and the owner had better go on. Where only its own way to the store is cut,
-//! another host claims. The owner can't tell the two apart by itself; so it asks the hosts that are connected with it. Each says for how long it
-//! certainly doesn't claim the shard. Such answers follow one another without a gap, or say nothing: a host may have claimed in
-//! between, and be down by now.
+//! In a store outage that affects all hosts nobody can claim the shard, and the owner should go on. If only the owner's own connection to the
+//! store is cut, another host claims the shard. The owner can't distinguish the two cases by itself, so it queries the hosts that are
+//! connected to it. Each replies for how long it certainly doesn't claim the shard. The periods in successive replies of a host have to
+//! join without a gap; otherwise a reply is ignored, since the host may have claimed the shard in between and be down by now.
 //!
-//! A host that doesn't answer may be dead, or cut off together with the workers of its hall. So in each hall with workers half of the hosts have
-//! to answer. That all do is not asked for: a single dead one would end all work in a long outage.
+//! A host that doesn't reply may be dead, or cut off together with the workers of its hall. Therefore half of the hosts have to reply in each
+//! hall with workers. Not all hosts are required, since a single dead host would end all work in a long outage.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,49 +15,50 @@
 use super::dispatcher::{RelayDispatcher, RelayNumber};
 use super::messages::{RelayMessage, ShardObservation};
 
-/// A host of another version connects time and again; while it does, nobody knows what it would say.
-const REFUSED_FOR_MS: Millis = 5_000;
-/// How long the owner's own word lasts where it knows of no other host: as long as another's would.
-const OWN_WORD_MS: Millis = 1_200;
-/// So many questions are remembered: answers to older ones come too late to be of use.
-const QUESTIONS_KEPT: usize = 16;
+/// How long the refusal of a host of another version counts. Such a host keeps connecting, and while it does, its replies are unknown.
+const REFUSAL_EFFECT_MS: Millis = 5_000;
+/// The longest time from now for which the shard counts as unclaimed. It limits an owner that knows no other host to the period that another
+/// host's reply would give.
+const MAX_UNCLAIMED_MS: Millis = 1_200;
+/// How many of the newest queries are remembered; replies to older ones arrive too late to be of use.
+const MAX_REMEMBERED_QUERIES: usize = 16;
 
-/// One host that is connected with the owner, or was when the owner last renewed.
+/// A host that is connected to the owner, or was when the owner last renewed its ownership.
 #[derive(Clone, Debug)]
 struct QuorumMember {
     hall: HallId,
-    /// Since when its connection has been gone.
-    unlinked_at: Option<Millis>,
-    /// Before when it doesn't claim the shard.
-    free_until: Millis,
+    /// When the connection of the host ended; none while it is connected.
+    disconnected_at: Option<Millis>,
+    /// The host doesn't claim the shard before this time.
+    unclaimed_until: Millis,
 }
 
-/// The hosts that an owner asks, and what they have said.
+/// The hosts that an owner queries, and what they have replied.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutageQuorum {
-    seats: BTreeMap<HostId, QuorumMember>,
-    /// Before when nobody claims the shard by the owner's newest renewal.
+    members: BTreeMap<HostId, QuorumMember>,
+    /// By the owner's newest renewal, nobody claims the shard before this time.
     renewed_until: Millis,
-    /// When each of the newest questions was asked.
-    asked: BTreeMap<u64, Millis>,
-    question_count: u64,
+    /// When each of the newest queries was sent, by query number.
+    queried_at: BTreeMap<u64, Millis>,
+    query_count: u64,
     refused_at: Option<Millis>,
 }
 
 impl OutageQuorum {
-    pub(super) fn note_linked(&mut self, host: &HostId, hall: &HallId) {
-        let seat = self.seats.entry(host.clone());
-        let seat = seat.or_insert_with(|| QuorumMember {
+    pub(super) fn note_connected(&mut self, host: &HostId, hall: &HallId) {
+        let member = self.members.entry(host.clone());
+        let member = member.or_insert_with(|| QuorumMember {
             hall: hall.clone(),
-            unlinked_at: None,
-            free_until: 0,
+            disconnected_at: None,
+            unclaimed_until: 0,
         });
-        seat.unlinked_at = None;
+        member.disconnected_at = None;
     }
 
-    pub(super) fn note_unlinked(&mut self, now: Millis, host: &HostId) {
-        if let Some(seat) = self.seats.get_mut(host) {
-            seat.unlinked_at.get_or_insert(now);
+    pub(super) fn note_disconnected(&mut self, now: Millis, host: &HostId) {
+        if let Some(member) = self.members.get_mut(host) {
+            member.disconnected_at.get_or_insert(now);
         }
     }
 
@@ -65,54 +66,65 @@
         self.refused_at = Some(now);
     }
 
-    /// Begins a question of an owner that renewed last at `renewed_at`, by which nobody claims the shard before `renewed_until`. Hosts whose
-    /// connections ended before that renewal are forgotten.
+    /// Starts a query and returns its number. The owner last renewed at `renewed_at`, so that nobody claims the shard before
+    /// `renewed_until`. Hosts whose connections ended before that renewal are forgotten.
     pub(super) fn ask(&mut self, now: Millis, renewed_at: Millis, renewed_until: Millis) -> u64 {
         self.renewed_until = renewed_until;
-        let lately = |seat: &QuorumMember| seat.unlinked_at.is_none_or(|at| at >= renewed_at);
-        self.seats.retain(|_, seat| lately(seat));
-        self.question_count += 1;
-        self.asked.insert(self.question_count, now);
-        if self.asked.len() > QUESTIONS_KEPT {
-            self.asked.pop_first();
+        let recent =
+            |member: &QuorumMember| member.disconnected_at.is_none_or(|at| at >= renewed_at);
+        self.members.retain(|_, member| recent(member));
+        self.query_count += 1;
+        self.queried_at.insert(self.query_count, now);
+        if self.queried_at.len() > MAX_REMEMBERED_QUERIES {
+            self.queried_at.pop_first();
         }
-        self.question_count
+        self.query_count
     }
 
-    /// Takes in a host's answer to a question.
-    pub(super) fn take(&mut self, host: &HostId, number: u64, sight: ShardObservation) {
-        let (Some(seat), Some(asked)) = (self.seats.get_mut(host), self.asked.get(&number)) else {
+    /// Records a host's reply to a query; ignored if the host or the query is not known any more.
+    pub(super) fn record_reply(
+        &mut self,
+        host: &HostId,
+        number: u64,
+        observation: ShardObservation,
+    ) {
+        let (Some(member), Some(asked)) =
+            (self.members.get_mut(host), self.queried_at.get(&number))
+        else {
             return;
         };
-        let known = seat.free_until.max(self.renewed_until);
+        let known = member.unclaimed_until.max(self.renewed_until);
         if *asked <= known {
-            // It knew this after it was asked.
-            seat.free_until = known.max(asked + sight.claims_after_ms);
+            // The host replied after the query was sent, so its period ends no earlier than counted from the sending.
+            member.unclaimed_until = known.max(asked + observation.claims_after_ms);
         }
     }
 
-    /// Before when no host claims the shard, as far as half of the hosts of each hall say.
+    /// The time before which no host claims the shard, by the replies of half of the hosts of each hall; none if too few replied.
     pub(super) fn unclaimed_until<'a>(
         &'a self,
         now: Millis,
         own_hall: &HallId,
         mut halls: BTreeSet<&'a HallId>,
     ) -> Option<Millis> {
-        if self.refused_at.is_some_and(|at| now < at + REFUSED_FOR_MS) {
+        if self
+            .refused_at
+            .is_some_and(|at| now < at + REFUSAL_EFFECT_MS)
+        {
             return None;
         }
-        halls.extend(self.seats.values().map(|seat| &seat.hall));
-        let vouched = halls
+        halls.extend(self.members.values().map(|member| &member.hall));
+        let unclaimed = halls
             .into_iter()
-            .map(|hall| self.hall_until(hall, own_hall));
-        let until = vouched.min().flatten()?;
-        Some(until.min(now + OWN_WORD_MS))
+            .map(|hall| self.hall_unclaimed_until(hall, own_hall));
+        let until = unclaimed.min().flatten()?;
+        Some(until.min(now + MAX_UNCLAIMED_MS))
     }
 
-    /// Before when half of the hosts of a hall claim nothing; the owner, alone in its hall, never does.
-    fn hall_until(&self, hall: &HallId, own_hall: &HallId) -> Option<Millis> {
-        let seats = self.seats.values().filter(|seat| seat.hall == *hall);
-        let mut until: Vec<Millis> = seats.map(|seat| seat.free_until).collect();
+    /// The time before which half of the hosts of a hall don't claim the shard. An owner that is alone in its hall never claims it again.
+    fn hall_unclaimed_until(&self, hall: &HallId, own_hall: &HallId) -> Option<Millis> {
+        let members = self.members.values().filter(|member| member.hall == *hall);
+        let mut until: Vec<Millis> = members.map(|member| member.unclaimed_until).collect();
         if until.is_empty() && hall == own_hall {
             return Some(Millis::MAX);
         }
@@ -123,7 +135,7 @@
 }
 
 impl RelayDispatcher {
-    /// Asks all relays what they know of the shard, for an owner that renewed last at `renewed_at`, by which nobody claims the shard before
+    /// Creates a query to all relays about the shard. The owner last renewed at `renewed_at`, so that nobody claims the shard before
     /// `renewed_until`.
     pub fn ask(
         &mut self,
@@ -137,14 +149,14 @@
         relays.map(ask).collect()
     }
 
-    /// Before when none of the hosts that answer claims the shard, where enough of them do, in each hall with workers; the owner
-    /// itself stands in `own_hall`.
+    /// The time before which no host claims the shard; none unless at least half of the hosts have replied in each hall with workers.
+    /// `own_hall` is the hall of the owner itself.
     pub fn unclaimed_until(&self, now: Millis, own_hall: &HallId) -> Option<Millis> {
         let halls: BTreeSet<&HallId> = self.halls.values().collect();
         self.quorum.unclaimed_until(now, own_hall, halls)
     }
 
-    /// Notes that a host could not be taken in since it speaks another version: nobody hears what it would say.
+    /// Records that a host was refused because it uses another message version, so that its replies are unknown.
     pub fn note_refused(&mut self, now: Millis) {
         self.quorum.note_refused(now);
     }
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -234,7 +234,7 @@
         if info.rules_since > 0 && info.silent.epoch >= info.rules_since {
             scheduler.take_over_marks(info.claimed_at, info.store_ms, info.silent);
         }
-        // The roster in the store was written by the previous owner.
+        // The roster in the store carries the epoch of its own writer, so this owner writes it again.
         scheduler.roster_changed = true;
         scheduler
     }
