--- a/crates/config/src/job_settings.rs
+++ b/crates/config/src/job_settings.rs
@@ -43,7 +43,7 @@
     /// The platform's store.
     pub store_address: SocketAddr,
     /// What the host has of a processor core, in thousandths.
-    pub processor_millis: u64,
+    pub processor_millicores: u64,
     /// What its link carries, in thousandths of a megabit a second.
     pub link_kbit_per_s: u64,
     /// How workers are told what to do.
@@ -74,7 +74,7 @@
     let metrics_address = reader.address_or_none("metrics_address");
     let relay_address = reader.address_or_none("relay_address");
     let store_address = reader.address("store_address");
-    let processor_millis = reader.thousandths_or("processor_share", DEFAULT_PROCESSOR_MILLIS);
+    let processor_millicores = reader.thousandths_or("processor_share", DEFAULT_PROCESSOR_MILLIS);
     let link_kbit_per_s = reader.thousandths_or("link_mbit_per_s", DEFAULT_LINK_KBIT_PER_S);
     let worker_orders = reader.text_or("worker_orders", "call");
     let max_lease_ms = reader.number_or("max_lease_ms", 500, 600_000, 6_000);
@@ -89,7 +89,7 @@
         metrics_address: metrics_address?,
         relay_address: relay_address?,
         store_address: store_address?,
-        processor_millis: processor_millis?,
+        processor_millicores: processor_millicores?,
         link_kbit_per_s: link_kbit_per_s?,
         worker_orders: match worker_orders? {
             way if way == "call" => OrderWay::Call,
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -19,7 +19,7 @@
 use crate::worker::WorkerState;
 
 /// The greatest age assumed for a job. An older submission time is not trusted, since clocks of hosts may be wrong.
-const OLDEST_JOB_MS: Millis = 600_000;
+const MAX_JOB_AGE_MS: Millis = 600_000;
 
 impl JobScheduler {
     /// Applies the progress of jobs that a new owner has read; the job rows follow.
@@ -76,11 +76,11 @@
         self.open_job_steps(now, number);
     }
 
-    /// How long ago a job was submitted by the wall clock, at most [`OLDEST_JOB_MS`]; 0 if unknown.
+    /// How long ago a job was submitted by the wall clock, at most [`MAX_JOB_AGE_MS`]; 0 if unknown.
     fn job_age_ms(&self, spec: &JobSpec) -> Millis {
         match spec.handed_in_ms {
             0 => 0,
-            handed_in => self.wall_ms.saturating_sub(handed_in).min(OLDEST_JOB_MS),
+            handed_in => self.wall_ms.saturating_sub(handed_in).min(MAX_JOB_AGE_MS),
         }
     }
 
--- a/crates/jobs/src/relay/dispatcher.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -55,7 +55,7 @@
     /// Why the message or answers in it were ignored.
     pub faults: Vec<RelayFault>,
     /// The newer epoch of another owner that a host has seen, if any.
-    pub followed_by: Option<Epoch>,
+    pub newer_epoch: Option<Epoch>,
 }
 
 /// The counts of an owner's relays and relayed orders.
@@ -93,6 +93,7 @@
     relay: RelayNumber,
     worker: WorkerId,
     kind: OrderKind,
+    /// When the order times out.
     until: Millis,
 }
 
@@ -100,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct RelayDispatcher {
     pub(super) epoch: Epoch,
-    processor_millis: u64,
+    processor_millicores: u64,
     pub(super) relays: BTreeMap<RelayNumber, RelayState>,
     relay_count: u64,
     /// When the relay of each host was last lost.
@@ -119,10 +120,10 @@
 
 impl RelayDispatcher {
     /// Creates a dispatcher without relays for the owner of an epoch, which has this many thousandths of a processor core.
-    pub fn new(epoch: Epoch, processor_millis: u64) -> Self {
+    pub fn new(epoch: Epoch, processor_millicores: u64) -> Self {
         Self {
             epoch,
-            processor_millis,
+            processor_millicores,
             relays: BTreeMap::new(),
             relay_count: 0,
             lost_at: BTreeMap::new(),
@@ -165,7 +166,7 @@
                 relay: number,
                 host: handshake.host,
                 hall: handshake.hall,
-                processor_millis: handshake.processor_millis,
+                processor_millicores: handshake.processor_millicores,
             },
             last_heard: now,
             last_sent_at: now,
@@ -213,7 +214,7 @@
             WorkerCall::Start(start) => (OrderKind::Start(start.key), 0),
             WorkerCall::Stop(key) => (OrderKind::Stop(*key), 0),
             WorkerCall::Pace(key, _) => (OrderKind::Pace(*key), 0),
-            WorkerCall::Renew(hold) => (OrderKind::Renew, hold.wait_ms),
+            WorkerCall::Renew(renewal) => (OrderKind::Renew, renewal.wait_ms),
         };
         self.order_count += 1;
         let order = OpenOrder {
@@ -272,7 +273,7 @@
                 if let Some(state) = self.relays.get(&relay).filter(|_| epoch == self.epoch) {
                     self.quorum
                         .record_reply(&state.candidate.host, number, observation);
-                    outcome.followed_by = Some(observation.epoch).filter(|seen| *seen > epoch);
+                    outcome.newer_epoch = Some(observation.epoch).filter(|seen| *seen > epoch);
                 }
                 (epoch, Vec::new(), false)
             }
@@ -396,7 +397,7 @@
     }
 
     fn relay_of(&mut self, now: Millis, worker: &WorkerId) -> Option<RelayNumber> {
-        if self.relays.is_empty() || calls_alone(self.processor_millis, self.halls.len()) {
+        if self.relays.is_empty() || calls_alone(self.processor_millicores, self.halls.len()) {
             return None;
         }
         if let Some(known) = self.routes.get(worker) {
--- a/crates/jobs/src/relay/messages.rs
+++ b/crates/jobs/src/relay/messages.rs
@@ -28,17 +28,17 @@
     /// The hall in which the host stands. The relay preferably serves workers of that hall.
     pub hall: HallId,
     /// The processor capacity of the host, in thousandths of a core.
-    pub processor_millis: u64,
+    pub processor_millicores: u64,
 }
 
 impl RelayHandshake {
     /// Creates a handshake in this version.
-    pub fn new(host: HostId, hall: HallId, processor_millis: u64) -> Self {
+    pub fn new(host: HostId, hall: HallId, processor_millicores: u64) -> Self {
         Self {
             version: RELAY_VERSION,
             host,
             hall,
-            processor_millis,
+            processor_millicores,
         }
     }
 }
--- a/crates/jobs/src/relay/plan.rs
+++ b/crates/jobs/src/relay/plan.rs
@@ -26,23 +26,23 @@
 const MAX_FIRST_CALLS_MS: Millis = 500;
 
 /// Whether a new owner should wait for more relays before its first calls to its workers: calling them all directly would take too long,
-/// and the hosts that have offered to relay so far have capacity for less than half of them. `processor_millis` is the processor capacity
+/// and the hosts that have offered to relay so far have capacity for less than half of them. `processor_millicores` is the processor capacity
 /// of the owner, in thousandths of a core.
 pub fn waits_for_relays<'a>(
-    processor_millis: u64,
+    processor_millicores: u64,
     workers: usize,
     offers: impl Iterator<Item = &'a RelayHandshake>,
 ) -> bool {
-    let direct_ms = workers as u64 * FIRST_CALL_MICROS / processor_millis.max(1);
+    let direct_ms = workers as u64 * FIRST_CALL_MICROS / processor_millicores.max(1);
     let room: usize = offers
-        .map(|offer| relay_capacity(offer.processor_millis))
+        .map(|offer| relay_capacity(offer.processor_millicores))
         .sum();
     direct_ms > MAX_FIRST_CALLS_MS && room * 2 < workers
 }
 
 /// The most workers that a relay with this many thousandths of a core serves.
-fn relay_capacity(processor_millis: u64) -> usize {
-    (processor_millis * RELAY_WORKERS_PERCENT / 100) as usize
+fn relay_capacity(processor_millicores: u64) -> usize {
+    (processor_millicores * RELAY_WORKERS_PERCENT / 100) as usize
 }
 
 /// A relay that may be assigned workers.
@@ -51,13 +51,13 @@
     pub(super) relay: RelayNumber,
     pub(super) host: HostId,
     pub(super) hall: HallId,
-    pub(super) processor_millis: u64,
+    pub(super) processor_millicores: u64,
 }
 
 impl RelayCandidate {
     /// The most workers that the relay serves.
     fn room(&self) -> usize {
-        relay_capacity(self.processor_millis)
+        relay_capacity(self.processor_millicores)
     }
 
     /// The weight of this relay for a worker: rendezvous hashing weighted by capacity. When relays come or go, only workers of those relays
@@ -72,8 +72,8 @@
 }
 
 /// Whether an owner calls this many workers without relays.
-pub(super) fn calls_alone(processor_millis: u64, workers: usize) -> bool {
-    workers as u64 <= processor_millis * DIRECT_WORKERS_PERCENT / 100
+pub(super) fn calls_alone(processor_millicores: u64, workers: usize) -> bool {
+    workers as u64 <= processor_millicores * DIRECT_WORKERS_PERCENT / 100
 }
 
 /// The relays in use, by hall of the workers that they serve.
@@ -88,7 +88,7 @@
     /// relays, more orders share a message. If the relays of a hall can serve less than half of its workers, all relays in use serve it.
     pub(super) fn new(mut relays: Vec<RelayCandidate>, workers: &BTreeMap<HallId, usize>) -> Self {
         relays.sort_by(|one, other| {
-            let strength = other.processor_millis.cmp(&one.processor_millis);
+            let strength = other.processor_millicores.cmp(&one.processor_millicores);
             strength.then_with(|| one.host.cmp(&other.host))
         });
         let mut plan = Self::default();
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -40,10 +40,15 @@
 
 /// As few relays as have room: 200 workers a hall need two strong hosts, or nine weak ones.
 fn as_few_relays_as_have_room() {
-    let in_use = |processor_millis| {
+    let in_use = |processor_millicores| {
         let mut desk = desk(STRONG, 400);
         for host in 0..20 {
-            join(&mut desk, &format!("h-{host:02}"), host, processor_millis);
+            join(
+                &mut desk,
+                &format!("h-{host:02}"),
+                host,
+                processor_millicores,
+            );
         }
         route(&mut desk, 0, 0, hold());
         desk.stats().in_use
@@ -253,9 +258,9 @@
 
 /// A new owner with an eighth of a core waits for help before its first calls to 890 workers, a strong one doesn't.
 fn a_weak_owner_waits_for_relays() {
-    let waits = |processor_millis, hosts| {
+    let waits = |processor_millicores, hosts| {
         let offers: Vec<_> = (0..hosts).map(|host| greeting("h", host, WEAK)).collect();
-        waits_for_relays(processor_millis, 890, offers.iter())
+        waits_for_relays(processor_millicores, 890, offers.iter())
     };
     assert!(!waits(STRONG, 0));
     assert!(waits(WEAK, 0));
--- a/crates/jobs/tests/support/relaying.rs
+++ b/crates/jobs/tests/support/relaying.rs
@@ -27,15 +27,15 @@
 }
 
 /// An owner of so many workers in two halls.
-pub fn desk(processor_millis: u64, workers: usize) -> RelayDispatcher {
-    let mut desk = RelayDispatcher::new(EPOCH, processor_millis);
+pub fn desk(processor_millicores: u64, workers: usize) -> RelayDispatcher {
+    let mut desk = RelayDispatcher::new(EPOCH, processor_millicores);
     desk.note_workers((0..workers).map(|number| (worker(number), hall(number))));
     desk
 }
 
 /// What a host says as it joins.
-pub fn greeting(host: &str, hall_number: usize, processor_millis: u64) -> RelayHandshake {
-    RelayHandshake::new(HostId::from(host), hall(hall_number), processor_millis)
+pub fn greeting(host: &str, hall_number: usize, processor_millicores: u64) -> RelayHandshake {
+    RelayHandshake::new(HostId::from(host), hall(hall_number), processor_millicores)
 }
 
 /// A host joins; returns how the owner calls it.
@@ -43,9 +43,9 @@
     desk: &mut RelayDispatcher,
     host: &str,
     hall_number: usize,
-    processor_millis: u64,
+    processor_millicores: u64,
 ) -> RelayNumber {
-    let greeting = greeting(host, hall_number, processor_millis);
+    let greeting = greeting(host, hall_number, processor_millicores);
     desk.join(0, greeting).expect("the same version")
 }
 
--- a/crates/jobs/tests/tenure.rs
+++ b/crates/jobs/tests/tenure.rs
@@ -112,7 +112,7 @@
     answering: &[RelayNumber],
     sight: ShardObservation,
 ) -> Option<u64> {
-    let mut followed_by = None;
+    let mut newer_epoch = None;
     for (relay, question) in desk.ask(now, 0, LEASE_MS) {
         let RelayMessage::ShardQuery(EPOCH, number) = question else {
             panic!("{question:?} is no question");
@@ -121,10 +121,10 @@
             let answer = RelayMessage::ShardReply(EPOCH, number, sight);
             let intake = desk.handle_message(now + 5, relay, answer);
             assert_eq!(intake.faults, []);
-            followed_by = followed_by.max(intake.followed_by);
+            newer_epoch = newer_epoch.max(intake.newer_epoch);
         }
     }
-    followed_by
+    newer_epoch
 }
 
 fn vouched(desk: &RelayDispatcher, now: Millis) -> Option<Millis> {
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -220,7 +220,7 @@
                 for (_, number, sight) in std::mem::take(&mut other.answers) {
                     let answer = RelayMessage::ShardReply(EPOCH, number, sight);
                     let intake = self.desk.handle_message(self.now, other.relay, answer);
-                    self.owns &= intake.followed_by.is_none();
+                    self.owns &= intake.newer_epoch.is_none();
                 }
             }
         }
--- a/crates/sandshelfd/src/jobs/owner/carry.rs
+++ b/crates/sandshelfd/src/jobs/owner/carry.rs
@@ -29,7 +29,7 @@
     desk: RelayDispatcher,
     links: RelayLinks,
     /// The epoch of an owner that has followed, where a host has seen one.
-    pub(super) followed_by: Option<Epoch>,
+    pub(super) newer_epoch: Option<Epoch>,
 }
 
 impl RelayPool {
@@ -42,9 +42,9 @@
         offers: RelayOffers,
     ) -> Self {
         let mut pool = Self {
-            desk: RelayDispatcher::new(epoch, settings.processor_millis),
+            desk: RelayDispatcher::new(epoch, settings.processor_millicores),
             links: RelayLinks::default(),
-            followed_by: None,
+            newer_epoch: None,
         };
         let known = roster.workers.iter();
         let known = known.map(|(worker, _)| (worker.clone(), HallId::from("")));
@@ -122,7 +122,7 @@
             return Vec::new();
         };
         let intake = self.desk.handle_message(now, relay, message);
-        self.followed_by = self.followed_by.max(intake.followed_by);
+        self.newer_epoch = self.newer_epoch.max(intake.newer_epoch);
         self.finish_intake(intake)
     }
 
--- a/crates/sandshelfd/src/jobs/owner/recover.rs
+++ b/crates/sandshelfd/src/jobs/owner/recover.rs
@@ -91,7 +91,7 @@
         let now = clock::now();
         let known = published.roster.workers.len();
         let offers = self.offers.values().map(|(greeting, _)| greeting);
-        let waits = waits_for_relays(self.settings.processor_millis, known, offers);
+        let waits = waits_for_relays(self.settings.processor_millicores, known, offers);
         if waits && now < self.claimed_at + RELAYS_WITHIN_MS {
             self.published = Some((epoch, published));
             return;
--- a/crates/sandshelfd/src/jobs/owner/strength.rs
+++ b/crates/sandshelfd/src/jobs/owner/strength.rs
@@ -22,7 +22,7 @@
     /// By what the settings say of the host.
     pub(super) fn of(settings: &JobSettings) -> Self {
         let thin = settings.link_kbit_per_s < WEAK_LINK_KBIT_PER_S;
-        match settings.processor_millis {
+        match settings.processor_millicores {
             millis if thin || millis < WEAK_PROCESSOR_MILLIS => HostStrength::Weak,
             millis if millis >= STRONG_PROCESSOR_MILLIS => HostStrength::Strong,
             _ => HostStrength::Middling,
--- a/crates/sandshelfd/src/jobs/owner/tenure.rs
+++ b/crates/sandshelfd/src/jobs/owner/tenure.rs
@@ -43,7 +43,7 @@
         let Some(owned) = &mut self.owned else {
             return;
         };
-        if let Some(epoch) = owned.relays.followed_by {
+        if let Some(epoch) = owned.relays.newer_epoch {
             return self.lose(&format!("a host has seen the owner of epoch {epoch}"));
         }
         let renewed_until = owned.tenure.tenure.note_renewed(renewed_at);
--- a/crates/sandshelfd/src/jobs/station.rs
+++ b/crates/sandshelfd/src/jobs/station.rs
@@ -106,7 +106,7 @@
     let greeting = RelayHandshake::new(
         HostId::from(settings.host.as_str()),
         settings.hall.clone(),
-        settings.processor_millis,
+        settings.processor_millicores,
     );
     let greeted = greeter.send(Bytes::from(encode_handshake(&greeting)));
     if greeted.await.is_err() {
