--- a/crates/jobs/src/limits.rs
+++ b/crates/jobs/src/limits.rs
@@ -32,9 +32,10 @@
 }
 
 /// The longest lease that an owner grants, even where workers accept longer ones.
+///
 /// A standing task has to run again nine seconds after its last run. The worst case is that its worker dies without notice and the
-/// owner dies right before it has recorded that. It takes 1.75 s to record a silent worker (two renewals of half a second each, their timeouts
-/// and the pause between them), 1.9 s until another host owns the shard, 1 s of margin for an owner that was cut off, and 4.1 s for
+/// owner dies right before it has recorded that. It takes 1.75 s to record a silent worker (two renewals of half a second each, their
+/// timeouts and the pause between them), 1.9 s until another host owns the shard, 1 s of margin for an owner that was cut off, and 4.1 s for
 /// the lease on a clock that is 2 % slow: 8.75 s in total. With the 10 s that some workers grant, tasks did not run for 17.8 s in
 /// simulation. Leases of 4 s changed the mean score over 24 simulated runs by no more than the spread between runs (docs/POLICY.md).
 const MAX_OWNER_LEASE_MS: Millis = 4_000;
@@ -55,7 +56,7 @@
 /// How long an acknowledgement waits for the answer to a start order. A healthy worker answers a start within some 5 ms.
 pub const ACK_START_WAIT_MS: Millis = 100;
 /// The greatest assumed age of an order whose send time is not known any more, when an answer to it arrives. An order may wait
-/// half a second for each of three orders that run at once before it, and half a second for its answer.
+/// half a second for each of three orders ahead of it, and half a second for its answer.
 pub const MAX_ORDER_AGE_MS: Millis = 3_000;
 /// How long a worker may wait for a run to end before it answers a lease renewal. By then a new reading of the tail latencies on that
 /// worker is due.
@@ -100,6 +101,7 @@
 /// probe is not enough, since a single call may get lost.
 pub const MIN_UNANSWERED_PROBES: u32 = 2;
 /// How many of the crashes for which a task is blamed have to be certain, that is, with no other uncleared run on the worker.
+/// If this many of its workers went down with its start, [`CRASHES_TO_BLAME`] applies, otherwise [`SLOW_CRASHES_TO_BLAME`].
 pub const MIN_CERTAIN_CRASHES: usize = 2;
 /// The number of recorded crashes for which a task is blamed if its workers crash some time after its start. It is the last start but
 /// one that the platform allows.
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -74,8 +74,11 @@
     pub(crate) jobs: BTreeMap<JobNumber, JobState>,
     /// The progress of jobs whose rows have not been handled yet, as read at the takeover.
     pub(crate) inherited_progress: BTreeMap<JobNumber, ProgressRow>,
+    /// The jobs that have ended; later rows of them are ignored.
     pub(crate) finished: HashSet<JobNumber>,
+    /// When each job ended, oldest first, until the removal of its rows is requested.
     pub(crate) finished_at: VecDeque<(Millis, JobNumber)>,
+    /// The final progress of ended jobs that has not been written yet.
     pub(crate) final_rows: BTreeMap<JobNumber, ProgressRow>,
     pub(crate) workers: BTreeMap<WorkerId, WorkerState>,
     /// When the newest worker list arrived.
@@ -83,15 +86,19 @@
     /// Since when worker lists have arrived without a gap longer than `MAX_LIST_GAP_MS`.
     pub(crate) lists_since: Millis,
     pub(crate) waiting: BTreeSet<WaitKey>,
+    /// Waiting tasks that must not start before a time.
     pub(crate) delayed: BTreeSet<(Millis, TaskKey)>,
     pub(crate) queues: BTreeMap<String, QueueRules>,
     pub(crate) evacuated: EvacuatedHalls,
+    /// Jobs whose changed progress has not been written yet, in the order of the changes.
     pub(crate) dirty: VecDeque<JobNumber>,
     pub(crate) dirty_set: HashSet<JobNumber>,
+    /// Whether the next commit must not wait for the shortest interval between commits.
     pub(crate) urgent: bool,
     pub(crate) commit: Option<PendingCommit>,
     pub(crate) commit_count: u64,
     pub(crate) last_commit: Millis,
+    /// The published number of waiting jobs by queue.
     pub(crate) pending_counts: BTreeMap<String, u64>,
     pub(crate) pending_published_at: Millis,
     pub(crate) roster: BTreeSet<WorkerId>,
@@ -125,6 +132,7 @@
     pub(crate) press: PressEstimate,
     pub(crate) loads: LoadBook,
     pub(crate) strengths_at: Millis,
+    /// Whether waiting tasks are to be tried again, since capacity may have been freed or a task has been queued.
     pub(crate) room_changed: bool,
     pub(crate) last_pass: Millis,
     /// The placements that the last pass tried in vain, if it was cut short.
