--- a/crates/jobs/src/backlog.rs
+++ b/crates/jobs/src/backlog.rs
@@ -8,7 +8,7 @@
 
 use sandshelf_model::Millis;
 
-use crate::limits::{HOLD_WAIT_MS, PASS_PAUSE_MS, STARTS_AT_ONCE, TICK_MS};
+use crate::limits::{MAX_UNANSWERED_STARTS, MIN_PASS_INTERVAL_MS, RENEWAL_WAIT_MS, TICK_MS};
 
 /// The window over which lateness is measured.
 const WINDOW_MS: Millis = 250;
@@ -146,14 +146,14 @@
     /// The pause before the next lease renewal of a worker that has answered. The wait alone does not space renewals out, because
     /// the end of a run answers a renewal before its wait is over.
     pub(crate) fn renewal_gap_ms(&self) -> Millis {
-        (self.stretched(HOLD_WAIT_MS) - HOLD_WAIT_MS).min(MAX_RENEWAL_GAP_MS)
+        (self.stretched(RENEWAL_WAIT_MS) - RENEWAL_WAIT_MS).min(MAX_RENEWAL_GAP_MS)
     }
 
     /// The shortest time between two placement passes while this number of tasks is waiting.
     pub(crate) fn pass_pause_ms(&self, waiting: usize) -> Millis {
         let extra_ms = self.stretch - NO_STRETCH_PERCENT;
         let pause_for_waiting = waiting as Millis / WAITING_TASKS_PER_PAUSE_MS;
-        let pause = PASS_PAUSE_MS.max(pause_for_waiting) + extra_ms;
+        let pause = MIN_PASS_INTERVAL_MS.max(pause_for_waiting) + extra_ms;
         pause.min(MAX_PASS_PAUSE_MS)
     }
 
@@ -171,7 +171,7 @@
 
     /// The number of start orders that may be unanswered at one time.
     pub(crate) fn max_unanswered_starts(&self) -> usize {
-        let stretched = STARTS_AT_ONCE * NO_STRETCH_PERCENT as usize / self.stretch as usize;
+        let stretched = MAX_UNANSWERED_STARTS * NO_STRETCH_PERCENT as usize / self.stretch as usize;
         stretched.max(MIN_UNANSWERED_STARTS)
     }
 }
--- a/crates/jobs/src/capacity.rs
+++ b/crates/jobs/src/capacity.rs
@@ -5,7 +5,9 @@
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
 use crate::ids::{JobNumber, TaskKey};
-use crate::limits::{FOREIGN_MS, RELIST_MS, ROOM_KNOWN_MS, STALE_ROOM_PERCENT};
+use crate::limits::{
+    FOREIGN_RUN_RETENTION_MS, LISTED_CAPACITY_FRESH_MS, LIST_RECOVERY_MS, STALE_CAPACITY_PERCENT,
+};
 use crate::scheduler::JobScheduler;
 use crate::spec::JobSpec;
 use crate::worker::WorkerState;
@@ -28,7 +30,7 @@
     /// Keeps the task sizes of an ended job while workers may still report its runs to a new owner. Without them such a run counted as
     /// taking nothing until it had stopped, and its worker was given more than its capacity.
     pub(crate) fn keep_ended_sizes(&mut self, now: Millis, number: JobNumber, spec: &JobSpec) {
-        if now < self.began_at + FOREIGN_MS {
+        if now < self.claimed_at + FOREIGN_RUN_RETENTION_MS {
             let sizes = spec.steps.iter().map(|step| step.room()).collect();
             self.ended_job_sizes.by_job.insert(number, sizes);
         }
@@ -37,7 +39,7 @@
     /// Drops the sizes of ended jobs, and what became known of jobs that never arrived, once all runs that an earlier owner started have
     /// been reported.
     pub(crate) fn forget_ended_sizes(&mut self, now: Millis) {
-        if now >= self.began_at + FOREIGN_MS {
+        if now >= self.claimed_at + FOREIGN_RUN_RETENTION_MS {
             self.ended_job_sizes.by_job.clear();
             self.crashes.forget_pending();
         }
@@ -61,10 +63,10 @@
         if worker.has_unsized_runs() || self.foreign.has_reports_of(id) {
             return ResourceSize::default();
         }
-        let fresh = now <= self.last_list + ROOM_KNOWN_MS;
-        match fresh && now >= self.lists_since + RELIST_MS {
+        let fresh = now <= self.last_list + LISTED_CAPACITY_FRESH_MS;
+        match fresh && now >= self.lists_since + LIST_RECOVERY_MS {
             true => worker.free(),
-            false => worker.free_at_percent(STALE_ROOM_PERCENT),
+            false => worker.free_at_percent(STALE_CAPACITY_PERCENT),
         }
     }
 }
--- a/crates/jobs/src/commit.rs
+++ b/crates/jobs/src/commit.rs
@@ -9,7 +9,8 @@
 use crate::ids::JobNumber;
 use crate::interference::InterferenceRow;
 use crate::limits::{
-    COMMIT_JOBS, COMMIT_PAUSE_MS, FORGET_AT_ONCE, PENDING_EVERY_MS, STRENGTHS_EVERY_MS,
+    INTERFERENCE_WRITE_INTERVAL_MS, MAX_FORGOTTEN_JOBS_PER_COMMIT, MAX_JOBS_PER_COMMIT,
+    MIN_COMMIT_INTERVAL_MS, PENDING_PUBLISH_INTERVAL_MS,
 };
 use crate::progress::ProgressRow;
 use crate::roster::WorkerRoster;
@@ -25,7 +26,7 @@
         if self.dirty.is_empty() && std::mem::take(&mut self.unacknowledged) {
             self.acknowledge_all(now);
         }
-        let due = self.urgent || now >= self.last_commit + COMMIT_PAUSE_MS;
+        let due = self.urgent || now >= self.last_commit + MIN_COMMIT_INTERVAL_MS;
         if !due {
             return;
         }
@@ -42,7 +43,7 @@
             return;
         }
         self.commit_count += 1;
-        let capacity = COMMIT_JOBS - forget.len();
+        let capacity = MAX_JOBS_PER_COMMIT - forget.len();
         let numbers: Vec<JobNumber> = self.dirty.iter().take(capacity).copied().collect();
         self.dirty.drain(..numbers.len());
         let complete = self.dirty.is_empty();
@@ -68,7 +69,7 @@
             crashed,
         });
         let interference = self.due_interference(now);
-        self.out.push(JobAction::Commit(CommitBatch {
+        self.actions.push(JobAction::Commit(CommitBatch {
             id: self.commit_count,
             progress,
             pending,
@@ -82,7 +83,7 @@
     /// What was learnt about images, if it was last written long enough ago. It is only written
     /// along with other changes.
     fn due_interference(&mut self, now: Millis) -> Option<InterferenceRow> {
-        if now < self.interference_written_at + STRENGTHS_EVERY_MS {
+        if now < self.interference_written_at + INTERFERENCE_WRITE_INTERVAL_MS {
             return None;
         }
         self.interference_written_at = now;
@@ -93,7 +94,7 @@
     /// requested.
     fn outdated_jobs(&mut self, now: Millis) -> Vec<JobNumber> {
         let old = |at: Millis| now > at + self.limits.keep_finished_ms;
-        let count = self.finished_at.iter().take(FORGET_AT_ONCE);
+        let count = self.finished_at.iter().take(MAX_FORGOTTEN_JOBS_PER_COMMIT);
         let count = count.take_while(|(at, _)| old(*at)).count();
         self.finished_at
             .drain(..count)
@@ -113,7 +114,7 @@
         let unwritten = unwritten.filter(|(_, worker)| worker.incarnation.has_unwritten());
         let ends = unwritten.map(|(id, worker)| NotedEnds {
             worker: id.clone(),
-            life: worker.incarnation.id,
+            incarnation: worker.incarnation.id,
             newest: worker.incarnation.noted,
         });
         ends.collect()
@@ -159,7 +160,7 @@
         for ends in commit.noted {
             let state = self.workers.get_mut(&ends.worker);
             // End numbers of an earlier incarnation don't apply to the current one.
-            let Some(state) = state.filter(|state| state.incarnation.id == ends.life) else {
+            let Some(state) = state.filter(|state| state.incarnation.id == ends.incarnation) else {
                 continue;
             };
             state.incarnation.durable = state.incarnation.durable.max(ends.newest);
@@ -171,7 +172,7 @@
 
     /// The counts of waiting jobs by queue, if they changed and may be published again.
     fn changed_pending(&mut self, now: Millis) -> Option<BTreeMap<String, u64>> {
-        if self.state_pending || now < self.pending_at + PENDING_EVERY_MS {
+        if self.state_pending || now < self.pending_published_at + PENDING_PUBLISH_INTERVAL_MS {
             return None;
         }
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
@@ -180,11 +181,11 @@
                 *counts.entry(job.spec.queue.clone()).or_default() += 1;
             }
         }
-        if counts == self.pending {
+        if counts == self.pending_counts {
             return None;
         }
-        self.pending_at = now;
-        self.pending = counts.clone();
+        self.pending_published_at = now;
+        self.pending_counts = counts.clone();
         Some(counts)
     }
 }
--- a/crates/jobs/src/crash/caution.rs
+++ b/crates/jobs/src/crash/caution.rs
@@ -7,7 +7,8 @@
 use crate::ids::{RunKey, TaskKey};
 use crate::job::{TaskStage, TaskState};
 use crate::limits::{
-    CRASH_KEPT_MS, FEWEST_KEPT_WORKERS, KEPT_OF_WORKERS, LATEST_CRASH_MS, PROVEN_AFTER_MS,
+    CLEARED_AFTER_MS, MAX_RUN_AGE_AT_CRASH_MS, MIN_RESERVABLE_WORKERS, RESERVED_FLEET_DIVISOR,
+    WORKER_RESERVATION_MS,
 };
 use crate::scheduler::JobScheduler;
 use crate::worker::WorkerState;
@@ -23,7 +24,7 @@
     /// cleared, in milliseconds.
     pub(super) fn clearance_ms(&self, task: &TaskKey) -> Millis {
         let noted = self.noted_task(task);
-        noted.map_or(PROVEN_AFTER_MS, |noted| noted.crashes.clearance_ms())
+        noted.map_or(CLEARED_AFTER_MS, |noted| noted.crashes.clearance_ms())
     }
 
     /// The state of a task if it has crash notes.
@@ -66,7 +67,7 @@
             })
         });
         let began = began.chain(worker.suspects.iter().copied());
-        let late = began.filter(|suspect| suspect.heard_ms <= LATEST_CRASH_MS);
+        let late = began.filter(|suspect| suspect.heard_ms <= MAX_RUN_AGE_AT_CRASH_MS);
         late.collect()
     }
 
@@ -158,13 +159,13 @@
     pub(crate) fn reserve_worker(&mut self, now: Millis, worker: WorkerId, task: TaskKey) {
         self.crashes
             .reserved
-            .insert(worker, (task, now + CRASH_KEPT_MS));
+            .insert(worker, (task, now + WORKER_RESERVATION_MS));
     }
 
     /// Whether another worker may be reserved for a task that has to start alone.
     pub(crate) fn may_reserve_for(&self, task: &TaskKey) -> bool {
         let reserved = &self.crashes.reserved;
-        let most = FEWEST_KEPT_WORKERS.max(self.workers.len() / KEPT_OF_WORKERS);
+        let most = MIN_RESERVABLE_WORKERS.max(self.workers.len() / RESERVED_FLEET_DIVISOR);
         reserved.len() < most
             && reserved
                 .values()
--- a/crates/jobs/src/crash/losses.rs
+++ b/crates/jobs/src/crash/losses.rs
@@ -6,12 +6,12 @@
 use super::record::StartPlace;
 use super::tracker::{PendingCrash, PresumedCrash};
 use super::{CrashNote, StartCaution};
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
 use crate::incarnation::certainly_differ;
 use crate::job::TaskStage;
 use crate::limits::{
-    ALONE_FROM_CRASHES, CRASH_WAIT_MS, FEWEST_IN_HERD, HERD_MS, HERD_OF_WORKERS,
-    UNFOUND_WATCHED_AT_MOST,
+    ISOLATE_FROM_CRASHES, MASS_FAILURE_FLEET_DIVISOR, MASS_FAILURE_WINDOW_MS,
+    MAX_CRASH_NOTE_WAIT_MS, MAX_WATCHED_UNFOUND_TASKS, MIN_MASS_FAILURE_WORKERS,
 };
 use crate::note::{JobNote, LossCause};
 use crate::scheduler::JobScheduler;
@@ -95,12 +95,12 @@
     /// as well, so no task can be called the only cause.
     fn is_mass_failure(&self, worker: &WorkerId, heard_at: Millis) -> bool {
         let failing = self.workers.iter().filter(|(id, other)| {
-            let silent =
-                other.failed_renewals > 0 && other.last_answer.abs_diff(heard_at) <= HERD_MS;
+            let silent = other.failed_renewals > 0
+                && other.last_answer.abs_diff(heard_at) <= MASS_FAILURE_WINDOW_MS;
             silent && *id != worker && self.is_unexplained(other)
         });
         let unexplained = self.crashes.unexplained_near(heard_at) + failing.count();
-        unexplained >= FEWEST_IN_HERD.max(self.workers.len() / HERD_OF_WORKERS)
+        unexplained >= MIN_MASS_FAILURE_WORKERS.max(self.workers.len() / MASS_FAILURE_FLEET_DIVISOR)
     }
 
     /// Records a crash under a task. Returns whether the task is now blamed.
@@ -129,8 +129,8 @@
         if crashes > 0 {
             // The task waits for its first crash note to become durable for a limited time only:
             // while the store is out, healthy tasks that were lost with their worker must continue.
-            task.not_before = match crashes < ALONE_FROM_CRASHES {
-                true => now + CRASH_WAIT_MS,
+            task.not_before = match crashes < ISOLATE_FROM_CRASHES {
+                true => now + MAX_CRASH_NOTE_WAIT_MS,
                 false => Millis::MAX,
             };
             self.crashes.unwritten.insert(key);
@@ -181,7 +181,11 @@
     /// Handles an answer of a worker that was presumed to have crashed. If it is the same
     /// incarnation, it was only cut off, and the crash notes under its runs are withdrawn. A worker
     /// that has restarted did crash.
-    pub(crate) fn withdraw_crash(&mut self, worker: &WorkerId, incarnation: Option<WorkerLife>) {
+    pub(crate) fn withdraw_crash(
+        &mut self,
+        worker: &WorkerId,
+        incarnation: Option<WorkerIncarnation>,
+    ) {
         let Some(crash) = self.crashes.presumed.remove(worker) else {
             return;
         };
@@ -229,7 +233,7 @@
     /// other task is watched, so that its next start is written. Otherwise each owner in a row
     /// would start such a task again if each dies before it has recorded the crash.
     pub(crate) fn note_unfound_suspects(&mut self, now: Millis, unfound: &[TaskKey]) {
-        let few = unfound.len() <= UNFOUND_WATCHED_AT_MOST;
+        let few = unfound.len() <= MAX_WATCHED_UNFOUND_TASKS;
         for task in unfound {
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
@@ -258,7 +262,7 @@
         let is_alive = |state: &WorkerState| {
             let incarnation = match state.incarnation.fenced {
                 true => state.incarnation.id,
-                false => state.entry.life,
+                false => state.entry.incarnation,
             };
             (state.incarnation.fenced || state.listed)
                 && !certainly_differ(place.incarnation, incarnation)
--- a/crates/jobs/src/crash/record.rs
+++ b/crates/jobs/src/crash/record.rs
@@ -3,10 +3,10 @@
 use sandshelf_model::{Millis, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{RunKey, WorkerLife};
+use crate::ids::{RunKey, WorkerIncarnation};
 use crate::limits::{
-    ALONE_FROM_CRASHES, CERTAIN_CRASHES, CONVICTING_CRASHES, CONVICTING_SLOW_CRASHES,
-    PROVEN_AFTER_MS, UNHEARD_AT_MOST_MS,
+    CLEARED_AFTER_MS, CRASHES_TO_BLAME, ISOLATE_FROM_CRASHES, MAX_UNHEARD_BEFORE_CRASH_MS,
+    MIN_CERTAIN_CRASHES, SLOW_CRASHES_TO_BLAME,
 };
 
 /// A run that was lost, or may have been lost, in a crash of its worker.
@@ -55,7 +55,7 @@
     started: Option<(WorkerId, u64)>,
     /// The incarnation of that worker.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    started_in: Option<WorkerLife>,
+    started_in: Option<WorkerIncarnation>,
 }
 
 /// The place at which a task was started.
@@ -63,7 +63,7 @@
 pub(super) struct StartPlace {
     pub(super) worker: WorkerId,
     /// The worker's incarnation.
-    pub(super) incarnation: Option<WorkerLife>,
+    pub(super) incarnation: Option<WorkerIncarnation>,
 }
 
 /// The caution with which a task is started.
@@ -109,17 +109,17 @@
         let alone = self.notes.iter().filter(|note| note.alone).count();
         let last = self.notes.last().is_some_and(|note| note.alone);
         let sudden = self.notes.iter().filter(|note| note.sudden).count();
-        let enough = match sudden >= CERTAIN_CRASHES {
-            true => CONVICTING_CRASHES,
-            false => CONVICTING_SLOW_CRASHES,
+        let enough = match sudden >= MIN_CERTAIN_CRASHES {
+            true => CRASHES_TO_BLAME,
+            false => SLOW_CRASHES_TO_BLAME,
         };
-        last && alone >= CERTAIN_CRASHES && self.count() >= enough
+        last && alone >= MIN_CERTAIN_CRASHES && self.count() >= enough
     }
 
     pub(crate) fn caution(&self) -> StartCaution {
         match self.count() {
             0 => StartCaution::Usual,
-            count if count < ALONE_FROM_CRASHES => StartCaution::Apart,
+            count if count < ISOLATE_FROM_CRASHES => StartCaution::Apart,
             _ => StartCaution::Alone,
         }
     }
@@ -171,5 +171,7 @@
 /// How long after its start a run of a task with these crashes is cleared, in milliseconds.
 fn clearance_after(notes: &[CrashNote]) -> Millis {
     let longest = notes.iter().map(|note| note.heard_ms).max();
-    longest.map_or(PROVEN_AFTER_MS, |longest| longest + UNHEARD_AT_MOST_MS)
+    longest.map_or(CLEARED_AFTER_MS, |longest| {
+        longest + MAX_UNHEARD_BEFORE_CRASH_MS
+    })
 }
--- a/crates/jobs/src/crash/tracker.rs
+++ b/crates/jobs/src/crash/tracker.rs
@@ -6,13 +6,15 @@
 use sandshelf_model::{Millis, WorkerId};
 
 use super::CrashNote;
-use crate::ids::{JobNumber, RunKey, TaskKey, WorkerLife};
-use crate::limits::{HERD_MS, SOUND_AGAIN_MS, UNEXPLAINED_KEPT_MS};
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
+use crate::limits::{
+    AVOID_AFTER_CRASH_MS, MASS_FAILURE_WINDOW_MS, UNEXPLAINED_FAILURE_RETENTION_MS,
+};
 
 /// An incarnation of a worker that is presumed to have crashed.
 #[derive(Clone, Debug)]
 pub(super) struct PresumedCrash {
-    pub(super) incarnation: Option<WorkerLife>,
+    pub(super) incarnation: Option<WorkerIncarnation>,
     /// The runs under which the crash was recorded.
     pub(super) runs: Vec<RunKey>,
 }
@@ -81,20 +83,22 @@
     /// Whether a worker at this address crashed recently.
     pub(crate) fn crashed_lately(&self, now: Millis, address: &SocketAddr) -> bool {
         let at = self.crashed_at.get(address);
-        at.is_some_and(|at| now < at + SOUND_AGAIN_MS)
+        at.is_some_and(|at| now < at + AVOID_AFTER_CRASH_MS)
     }
 
     /// Records that a worker went down that was last heard from at `heard_at`, and on which no run
     /// was uncleared.
     pub(super) fn note_unexplained(&mut self, now: Millis, heard_at: Millis) {
-        self.unexplained.retain(|at| now < at + UNEXPLAINED_KEPT_MS);
+        self.unexplained
+            .retain(|at| now < at + UNEXPLAINED_FAILURE_RETENTION_MS);
         self.unexplained.push(heard_at);
     }
 
     /// How many such workers were last heard from at about this time.
     pub(super) fn unexplained_near(&self, heard_at: Millis) -> usize {
         let near = self.unexplained.iter();
-        near.filter(|at| at.abs_diff(heard_at) <= HERD_MS).count()
+        near.filter(|at| at.abs_diff(heard_at) <= MASS_FAILURE_WINDOW_MS)
+            .count()
     }
 
     /// Discards a task that is cleared or whose crash notes were withdrawn.
@@ -107,7 +111,8 @@
 
     /// Records that a worker at this address crashed.
     pub(super) fn note_crash_address(&mut self, now: Millis, address: SocketAddr) {
-        self.crashed_at.retain(|_, at| now < *at + SOUND_AGAIN_MS);
+        self.crashed_at
+            .retain(|_, at| now < *at + AVOID_AFTER_CRASH_MS);
         self.crashed_at.insert(address, now);
     }
 
--- a/crates/jobs/src/incarnation.rs
+++ b/crates/jobs/src/incarnation.rs
@@ -6,8 +6,8 @@
 
 use sandshelf_model::Millis;
 
-use crate::ids::WorkerLife;
-use crate::limits::SLOWEST_CLOCK_PERCENT;
+use crate::ids::WorkerIncarnation;
+use crate::limits::MIN_CLOCK_RATE_PERCENT;
 use crate::reports::WorkerClock;
 
 /// The largest difference that clocks may build up while one order is under way, plus the longest
@@ -31,7 +31,10 @@
 }
 
 /// Whether two incarnations of one worker certainly differ. Returns false where either is unknown.
-pub(crate) fn certainly_differ(one: Option<WorkerLife>, other: Option<WorkerLife>) -> bool {
+pub(crate) fn certainly_differ(
+    one: Option<WorkerIncarnation>,
+    other: Option<WorkerIncarnation>,
+) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one != other)
 }
 
@@ -40,7 +43,7 @@
 pub(crate) struct IncarnationState {
     /// The incarnation's identifier; `None` if the worker doesn't report it or has not answered
     /// yet.
-    pub(crate) id: Option<WorkerLife>,
+    pub(crate) id: Option<WorkerIncarnation>,
     /// Whether it has answered under this owner's epoch.
     pub(crate) fenced: bool,
     reading: Option<ClockReading>,
@@ -56,7 +59,7 @@
 
 impl IncarnationState {
     /// An incarnation that has not answered yet.
-    pub(crate) fn new(id: Option<WorkerLife>) -> Self {
+    pub(crate) fn new(id: Option<WorkerIncarnation>) -> Self {
         Self {
             id,
             ..Self::default()
@@ -64,7 +67,7 @@
     }
 
     /// Whether an incarnation with this identifier certainly differs from this one.
-    pub(crate) fn is_other(&self, id: Option<WorkerLife>) -> bool {
+    pub(crate) fn is_other(&self, id: Option<WorkerIncarnation>) -> bool {
         certainly_differ(self.id, id)
     }
 
@@ -112,7 +115,7 @@
     /// allowed.
     fn lowest_clock(&self, now: Millis) -> Option<WorkerClock> {
         let reading = self.reading?;
-        let passed = now.saturating_sub(reading.at) * SLOWEST_CLOCK_PERCENT / 100;
+        let passed = now.saturating_sub(reading.at) * MIN_CLOCK_RATE_PERCENT / 100;
         Some(reading.clock + passed)
     }
 
@@ -121,7 +124,7 @@
     pub(crate) fn lease_expires_at(&self) -> Option<Millis> {
         let reading = self.reading?;
         let left = (self.lease_deadline + 1).saturating_sub(reading.clock);
-        Some(reading.at + (left * 100).div_ceil(SLOWEST_CLOCK_PERCENT))
+        Some(reading.at + (left * 100).div_ceil(MIN_CLOCK_RATE_PERCENT))
     }
 
     /// Whether every lease granted to this incarnation has certainly expired.
--- a/crates/jobs/src/intake.rs
+++ b/crates/jobs/src/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs, cancellations and lists of workers as they come in.
+//! Handles new jobs, cancellations and worker lists.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
 use crate::foreign::ForeignReport;
-use crate::ids::{JobNumber, RunKey, WorkerLife};
+use crate::ids::{JobNumber, RunKey, WorkerIncarnation};
 use crate::incarnation::IncarnationState;
 use crate::job::{objective_ms, JobState, TaskStage};
-use crate::limits::{LIST_GAP_MS, RELIST_MS};
+use crate::limits::{LIST_RECOVERY_MS, MAX_LIST_GAP_MS};
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::progress::ProgressRow;
 use crate::reports::WorkerListing;
@@ -18,23 +18,29 @@
 use crate::stage::JobStage;
 use crate::worker::WorkerState;
 
-/// No job counts as older: hosts' clocks may be wrong.
-const OLDEST_JOB_MS: Millis = 600_000;
+/// The greatest age assumed for a job. An older submission time is not trusted, since clocks of hosts may be wrong.
+const MAX_JOB_AGE_MS: Millis = 600_000;
 
 impl JobScheduler {
-    /// Takes in what a new owner has read of jobs beside their rows.
-    pub(crate) fn take_state(
+    /// Applies the progress of jobs that a new owner has read; the job rows follow.
+    pub(crate) fn apply_recovered_state(
         &mut self,
         progress: BTreeMap<JobNumber, ProgressRow>,
         claim_version: u64,
     ) {
-        self.inherited = progress;
+        self.inherited_progress = progress;
         self.claim_version = claim_version;
         self.state_pending = false;
     }
 
-    /// Takes in a job; one that is known or has ended is passed over.
-    pub(crate) fn take_job(&mut self, now: Millis, number: JobNumber, version: u64, spec: JobSpec) {
+    /// Handles a job row; a job that is known or has ended is ignored.
+    pub(crate) fn handle_job_listed(
+        &mut self,
+        now: Millis,
+        number: JobNumber,
+        version: u64,
+        spec: JobSpec,
+    ) {
         if self.jobs.contains_key(&number) || self.finished.contains(&number) {
             return;
         }
@@ -42,9 +48,9 @@
             self.images.intern(&step.image);
         }
         let inherited = version <= self.claim_version;
-        let age = if inherited { self.age_of(&spec) } else { 0 };
+        let age = if inherited { self.job_age_ms(&spec) } else { 0 };
         let mut job = JobState::new(number, spec, now, age, inherited);
-        if let Some(row) = self.inherited.remove(&number) {
+        if let Some(row) = self.inherited_progress.remove(&number) {
             if row.stage.is_final() {
                 self.keep_ended_sizes(now, number, &job.spec);
                 self.finished.insert(number);
@@ -72,16 +78,16 @@
         self.open_job_steps(now, number);
     }
 
-    /// How long ago a job was handed in, by the time of day; 0 where that is not known.
-    fn age_of(&self, spec: &JobSpec) -> Millis {
+    /// How long ago a job was submitted by the wall clock, at most [`MAX_JOB_AGE_MS`]; 0 if unknown.
+    fn job_age_ms(&self, spec: &JobSpec) -> Millis {
         match spec.handed_in_ms {
             0 => 0,
-            handed_in => self.wall_ms.saturating_sub(handed_in).min(OLDEST_JOB_MS),
+            handed_in => self.wall_ms.saturating_sub(handed_in).min(MAX_JOB_AGE_MS),
         }
     }
 
-    /// Adds the repetitions that are due.
-    pub(crate) fn open_due_times(&mut self, now: Millis) {
+    /// Opens the repetitions of jobs that are due.
+    pub(crate) fn open_due_repetitions(&mut self, now: Millis) {
         let timed = |job: &&JobState| job.next_repetition < job.repetition_count();
         let due: Vec<JobNumber> = self
             .jobs
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Opens the steps of a job whose turn has come, and ends the job where all is done.
+    /// Opens the steps of a job whose predecessors are done, and ends the job if all its steps are done.
     pub(crate) fn open_job_steps(&mut self, now: Millis, number: JobNumber) {
         let recovery = self.recovery.as_ref();
         let unsettled = recovery.is_some();
@@ -119,12 +125,12 @@
         }
     }
 
-    /// Cancels a job; what is at work of it is stopped.
+    /// Cancels a job and stops its running tasks.
     pub(crate) fn cancel_job(&mut self, now: Millis, number: JobNumber) {
         self.finish_job(now, number, JobStage::Cancelled);
     }
 
-    /// Brings a job to its end: its final state is written, and what is at work of it is stopped.
+    /// Ends a job: its final state is written and its running tasks are stopped.
     pub(crate) fn finish_job(&mut self, now: Millis, number: JobNumber, stage: JobStage) {
         let Some(mut job) = self.jobs.remove(&number) else {
             return;
@@ -136,7 +142,7 @@
         self.finished_at.push_back((now, number));
         self.final_rows.insert(number, job.progress());
         if job.has_waiting_task() {
-            self.forget_waiting(|wait| wait.task.job == number);
+            self.remove_waiting(|wait| wait.task.job == number);
             self.delayed.retain(|(_, key)| key.job != number);
         }
         for key in job.live_tasks() {
@@ -160,17 +166,17 @@
         });
     }
 
-    /// Expects an answer of a worker that an earlier owner gave orders to.
+    /// Adds a worker that an earlier owner gave orders to, and waits for its answer.
     pub(crate) fn expect_worker(
         &mut self,
         now: Millis,
         worker: WorkerId,
         address: SocketAddr,
-        life: Option<WorkerLife>,
+        incarnation: Option<WorkerIncarnation>,
     ) {
         let entry = WorkerListing {
             worker: worker.clone(),
-            life: None,
+            incarnation: None,
             service: String::new(),
             address,
             hall: HallId::from(""),
@@ -181,7 +187,7 @@
         };
         let silence_record = self.silence_records.state_of(&worker);
         let mut state = WorkerState::new(entry, now, silence_record);
-        state.incarnation = IncarnationState::new(life);
+        state.incarnation = IncarnationState::new(incarnation);
         self.workers.insert(worker.clone(), state);
         self.worker_order = None;
         self.schedule_renewal(&worker, now);
@@ -191,9 +197,9 @@
         }
     }
 
-    /// Notes whose entries can't be read. Such an entry names no worker to use, so that nothing new goes there; what runs there is
-    /// held as long as the worker answers, which a foreign hand in the list says nothing about.
-    pub(crate) fn note_unreadable(&mut self, unreadable: &[WorkerId]) {
+    /// Marks the workers whose entries can't be read. Such a worker gets no new tasks, since its entry can't be used. The leases of its
+    /// runs are renewed as long as the worker answers, since an entry overwritten by another program says nothing about the worker itself.
+    pub(crate) fn mark_unreadable(&mut self, unreadable: &[WorkerId]) {
         for id in unreadable {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.unreadable = true;
@@ -201,8 +207,8 @@
         }
     }
 
-    /// Whether some queue, or the queue of some job, sends its tasks to a service: an entry that names any other is of no use.
-    /// Before a configuration is known, all are.
+    /// Whether any configured queue, or the queue of any job, uses the service of a worker; entries of other workers are ignored.
+    /// Before a configuration is known, every worker is used.
     fn serves_a_queue(&self, entry: &WorkerListing) -> bool {
         let configured = self.queues.values().map(|rules| &rules.service);
         let accepted = self.jobs.values().map(|job| &self.rules(&job.spec).service);
@@ -210,14 +216,14 @@
         self.queues.is_empty() || services.any(|service| *service == entry.service)
     }
 
-    /// Takes in the list of workers.
-    pub(crate) fn take_list(&mut self, now: Millis, list: Vec<WorkerListing>) {
+    /// Handles a worker list.
+    pub(crate) fn handle_worker_list(&mut self, now: Millis, list: Vec<WorkerListing>) {
         let named: BTreeSet<WorkerId> = list.iter().map(|entry| entry.worker.clone()).collect();
-        if now > self.last_list + LIST_GAP_MS {
+        if now > self.last_list + MAX_LIST_GAP_MS {
             self.lists_since = now;
         }
         self.last_list = now;
-        let settled = now >= self.lists_since + RELIST_MS;
+        let settled = now >= self.lists_since + LIST_RECOVERY_MS;
         for (id, worker) in &mut self.workers {
             worker.listed = named.contains(id);
             worker.unreadable &= !worker.listed;
@@ -225,7 +231,7 @@
         }
         for entry in list {
             if self.workers.contains_key(&entry.worker) || self.serves_a_queue(&entry) {
-                self.take_entry(now, entry);
+                self.apply_worker_entry(now, entry);
             }
         }
         for worker in self.workers.values_mut() {
@@ -237,7 +243,7 @@
         self.room_changed = true;
     }
 
-    fn take_entry(&mut self, now: Millis, entry: WorkerListing) {
+    fn apply_worker_entry(&mut self, now: Millis, entry: WorkerListing) {
         let id = entry.worker.clone();
         let known = self.workers.contains_key(&id);
         let replaced = |(other, worker): (&WorkerId, &WorkerState)| {
@@ -262,8 +268,8 @@
         state.evacuated = self.evacuated.contains(&entry.hall);
         let leaves_now = draining && !state.entry.draining;
         state.entry = entry;
-        if state.entry_incarnation_differs() && state.entry.life > state.incarnation.id {
-            // It has started again, and no hold has told so yet.
+        if state.entry_incarnation_differs() && state.entry.incarnation > state.incarnation.id {
+            // The worker has restarted, and no lease renewal has shown that yet.
             state.unsure = true;
         }
         if !known {
@@ -291,11 +297,11 @@
         }
     }
 
-    /// Stops the standing tasks of workers that are about to leave, so that they go on elsewhere.
+    /// Stops the standing tasks of draining workers, so that they start again on other workers.
     ///
-    /// This is looked at time and again, not when a list first names the worker as leaving: a new owner reads that list before
-    /// it is told what runs there, and an order to start may still be on its way. Tasks that nobody moved were away for a
-    /// whole lease after their worker had gone, 10 s where 9 s are promised.
+    /// This check is repeated, not done only when a list first shows the worker as draining: a new owner reads that list before it
+    /// knows what runs there, and a start order may still be on its way. Tasks that were not moved did not run for a whole lease
+    /// after their worker had left, 10 s instead of the promised 9 s.
     pub(crate) fn move_standing_tasks(&mut self, now: Millis) {
         let mut moved = Vec::new();
         for (id, worker) in self
--- a/crates/jobs/src/pacing.rs
+++ b/crates/jobs/src/pacing.rs
@@ -10,7 +10,7 @@
 use crate::ids::RunKey;
 use crate::images::ImageId;
 use crate::incarnation::ClockSample;
-use crate::limits::OLDEST_ANSWER_MS;
+use crate::limits::MAX_ORDER_AGE_MS;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{OrderAnswer, RefusalReason};
 use crate::run::{RunPhase, RunRecord};
@@ -192,7 +192,7 @@
     ) {
         match answer {
             OrderAnswer::Done(clock) => {
-                let sent_at = now.saturating_sub(OLDEST_ANSWER_MS);
+                let sent_at = now.saturating_sub(MAX_ORDER_AGE_MS);
                 self.record_order_clock(now, worker, ClockSample { clock, sent_at });
             }
             OrderAnswer::Refused(_, RefusalReason::Fenced) => self.deposed = true,
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -9,7 +9,7 @@
 use crate::crash::StartCaution;
 use crate::fill::{FillRequest, FillUrgency};
 use crate::ids::TaskKey;
-use crate::limits::{LOOKS_PER_PASS, ROUND_WITHIN_MS};
+use crate::limits::{MAX_WORKER_CHECKS_PER_PASS, PASS_RESUME_WINDOW_MS};
 use crate::rank::{
     is_mostly_used, place_rank, FailedPlacements, PassMemo, PlaceCost, PlaceRank, RankTier,
     WaitingGroup,
@@ -39,7 +39,7 @@
                     continue;
                 }
                 self.place_one(now, group.rank, wait, &mut memo);
-                cut_short = memo.evaluations >= LOOKS_PER_PASS;
+                cut_short = memo.evaluations >= MAX_WORKER_CHECKS_PER_PASS;
                 if cut_short || self.unanswered_starts >= max_unanswered_starts {
                     // The remaining tasks are tried as soon as answers have arrived.
                     self.room_changed = true;
@@ -59,7 +59,7 @@
             .worker_order
             .get_or_insert_with(|| workers.keys().cloned().collect());
         let previous = self.failed_placements.take();
-        let previous = previous.filter(|tries| now < tries.since + ROUND_WITHIN_MS);
+        let previous = previous.filter(|tries| now < tries.since + PASS_RESUME_WINDOW_MS);
         PassMemo::new(
             order.clone(),
             previous.unwrap_or_else(|| FailedPlacements::new(now)),
--- a/crates/jobs/src/recovery.rs
+++ b/crates/jobs/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{JobNumber, TaskKey};
 use crate::job::JobState;
-use crate::limits::ROSTER_LOOK_MS;
+use crate::limits::ROSTER_CHECK_INTERVAL_MS;
 use crate::note::{JobNote, LossCause};
 use crate::scheduler::JobScheduler;
 
@@ -35,7 +35,7 @@
         let keys: Vec<TaskKey> = jobs.flat_map(JobState::unfound_tasks).collect();
         if over {
             self.note(JobNote::TakeoverOver {
-                waited_ms: now.saturating_sub(self.began_at),
+                waited_ms: now.saturating_sub(self.claimed_at),
                 unanswered,
                 unfound: keys.len(),
             });
@@ -75,11 +75,11 @@
     /// Schedules the removal of progress rows without a job. An earlier owner may have ended after
     /// it removed a job and before it removed the job's progress.
     fn forget_orphaned_progress(&mut self, now: Millis) {
-        let inherited = self.inherited.iter();
+        let inherited = self.inherited_progress.iter();
         let final_rows = inherited.filter(|(_, row)| row.stage.is_final());
         let final_rows: Vec<JobNumber> = final_rows.map(|(number, _)| *number).collect();
         for number in final_rows {
-            self.inherited.remove(&number);
+            self.inherited_progress.remove(&number);
             self.finished.insert(number);
             self.finished_at.push_back((now, number));
         }
@@ -95,7 +95,7 @@
     /// each of them. When draining workers stayed in it until they were gone, three that had ended
     /// all their runs delayed every unfound task by 11 s.
     pub(crate) fn refresh_roster(&mut self, now: Millis) {
-        if now < self.roster_checked_at + ROSTER_LOOK_MS {
+        if now < self.roster_checked_at + ROSTER_CHECK_INTERVAL_MS {
             return;
         }
         self.roster_checked_at = now;
--- a/crates/jobs/src/relay/desk.rs
+++ b/crates/jobs/src/relay/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The owner's side: which order goes through which relay, and what has no answer yet.
+//! The owner's side: routes orders through relays and tracks the orders that have no answer yet.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,84 +6,86 @@
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 
 use super::messages::{
-    OrderBatch, RelayFault, RelayGreeting, RelayMessage, RelayedAnswer, RelayedOrder, RELAY_VERSION,
+    OrderBatch, RelayFault, RelayHandshake, RelayMessage, RelayedAnswer, RelayedOrder,
+    RELAY_VERSION,
 };
-use super::share::{calls_alone, RelayPlan, RelayShare};
-use super::witness::OutageWitness;
+use super::plan::{calls_alone, RelayCandidate, RelayPlan};
+use super::quorum::OutageQuorum;
 use crate::events::{JobEvent, WorkerCall};
 use crate::ids::RunKey;
-use crate::reports::{HoldAnswer, OrderAnswer};
+use crate::reports::{OrderAnswer, RenewalAnswer};
 
-/// How long an answer is waited for beside the wait that a hold asks for: a relay gives a worker up after 0.5 s, and its own
-/// turn with the ways there and back take some 10 ms, on a weak host under load up to 0.3 s.
-pub(super) const ANSWER_WITHIN_MS: Millis = 1_000;
-/// How often orders without an answer are looked at.
-const LOOK_EVERY_MS: Millis = 100;
-/// A relay that tells nothing for so long is lost; it is asked to say that it lives.
-const SILENT_AFTER_MS: Millis = 6_000;
-/// How often a relay in use is told that its owner lives, where it is given no orders: relays take an owner that gave them orders
-/// for gone after three times as long.
-const BEAT_EVERY_MS: Millis = 500;
-/// How often one that is not in use is told so.
-const IDLE_BEAT_MS: Millis = 2_000;
-/// A host that leaves orders without an answer twice within this time is slow or cut off, not just without a connection.
-const LOSSES_WITHIN_MS: Millis = 10_000;
-/// For how long such a host carries none.
-const SHUNNED_MS: Millis = 5_000;
-/// Names a relay's connection.
+/// The timeout of a relayed order, in addition to the wait that a lease renewal requests. A relay gives up on a worker after 0.5 s; its
+/// own processing and both network trips take some 10 ms, on a weak host under load up to 0.3 s.
+pub(super) const ANSWER_TIMEOUT_MS: Millis = 1_000;
+/// How often open orders and relays are checked for timeouts.
+const TIMEOUT_CHECK_INTERVAL_MS: Millis = 100;
+/// A relay that has sent nothing for this long is lost. Quiet relays are sent heartbeats, which they answer.
+const RELAY_SILENCE_TIMEOUT_MS: Millis = 6_000;
+/// The interval of heartbeats to a relay that is in use but gets no orders. Relays consider an owner that gave them orders gone after three
+/// times as long.
+const HEARTBEAT_INTERVAL_MS: Millis = 500;
+/// The interval of heartbeats to a relay that is not in use.
+const IDLE_HEARTBEAT_INTERVAL_MS: Millis = 2_000;
+/// A host whose relay is lost twice within this time is considered slow or cut off, rather than just disconnected once, and is excluded.
+const REPEATED_LOSS_WINDOW_MS: Millis = 10_000;
+/// How long an excluded host gets no orders.
+const EXCLUSION_MS: Millis = 5_000;
+
+/// Identifies the connection of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RelayNumber(pub u64);
 
-/// The way that an order takes.
+/// The route of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderRoute {
-    /// The owner calls the worker itself: the order comes back.
+    /// The owner calls the worker itself; contains the call.
     Direct(WorkerCall),
-    /// Through a relay.
+    /// The order goes through this relay.
     Relayed(RelayNumber),
 }
 
-/// What a message of a relay, or the passing of time, leads to.
+/// The outcome of a message from a relay, or of a timeout check.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RelayIntake {
-    /// What the scheduler is to be told.
+pub struct RelayOutcome {
+    /// The events for the scheduler.
     pub events: Vec<JobEvent>,
-    /// Relays that are lost; their connections are to be closed.
+    /// The lost relays, whose connections are to be closed.
     pub lost: Vec<RelayNumber>,
-    /// What was passed over.
+    /// Why the message or answers in it were ignored.
     pub faults: Vec<RelayFault>,
-    /// An owner of this newer epoch was seen by a host.
-    pub followed_by: Option<Epoch>,
+    /// The newer epoch of another owner that a host has seen, if any.
+    pub newer_epoch: Option<Epoch>,
 }
 
-/// An owner's figures of its relays.
+/// The counts of an owner's relays and relayed orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DeskFigures {
-    /// Hosts that offer to carry orders.
+pub struct DispatcherStats {
+    /// The number of hosts that offer to relay orders.
     pub offered: usize,
-    /// Those that carry some.
+    /// The number of those hosts that are in use.
     pub in_use: usize,
-    /// Orders under way through relays.
+    /// The number of relayed orders without an answer.
     pub open: usize,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct RelayState {
-    share: RelayShare,
+    candidate: RelayCandidate,
     last_heard: Millis,
-    last_told: Millis,
+    last_sent_at: Millis,
     outbox: Vec<RelayedOrder>,
-    /// Whether it is about to stop and takes no more.
+    /// Whether the relay is about to stop and takes no more orders.
     leaves: bool,
 }
 
-/// What an order was, to make its event.
+/// The kind of an order, from which the event of its answer is made.
 #[derive(Clone, Copy, Debug)]
 enum OrderKind {
     Start(RunKey),
     Stop(RunKey),
     Pace(RunKey),
-    Hold,
+    Renew,
 }
 
 #[derive(Clone, Debug)]
@@ -91,51 +93,52 @@
     relay: RelayNumber,
     worker: WorkerId,
     kind: OrderKind,
+    /// When the order times out.
     until: Millis,
 }
 
-/// The relays of an owner, for as long as it is one.
+/// Routes the orders of one owner through its relays.
 #[derive(Clone, Debug)]
-pub struct RelayDesk {
+pub struct RelayDispatcher {
     pub(super) epoch: Epoch,
-    processor_millis: u64,
+    processor_millicores: u64,
     pub(super) relays: BTreeMap<RelayNumber, RelayState>,
     relay_count: u64,
-    /// When a host last left orders without an answer.
+    /// When the relay of each host was last lost.
     lost_at: BTreeMap<HostId, Millis>,
-    /// Until when a host carries no orders.
-    shunned: BTreeMap<HostId, Millis>,
+    /// The hosts that get no orders, each with the time at which that ends.
+    excluded: BTreeMap<HostId, Millis>,
     pub(super) halls: HashMap<WorkerId, HallId>,
-    /// Made anew at the first order after a change of workers or relays.
+    /// Created again at the first order after a change of workers or relays.
     plan: Option<RelayPlan>,
     routes: HashMap<WorkerId, Option<RelayNumber>>,
     open: HashMap<u64, OpenOrder>,
     order_count: u64,
-    looked_at: Millis,
-    pub(super) witness: OutageWitness,
+    checked_at: Millis,
+    pub(super) quorum: OutageQuorum,
 }
 
-impl RelayDesk {
-    /// Starts without relays, for an owner of an epoch that has so many thousandths of a core.
-    pub fn new(epoch: Epoch, processor_millis: u64) -> Self {
+impl RelayDispatcher {
+    /// Creates a dispatcher without relays for the owner of an epoch, which has this many thousandths of a processor core.
+    pub fn new(epoch: Epoch, processor_millicores: u64) -> Self {
         Self {
             epoch,
-            processor_millis,
+            processor_millicores,
             relays: BTreeMap::new(),
             relay_count: 0,
             lost_at: BTreeMap::new(),
-            shunned: BTreeMap::new(),
+            excluded: BTreeMap::new(),
             halls: HashMap::new(),
             plan: None,
             routes: HashMap::new(),
             open: HashMap::new(),
             order_count: 0,
-            looked_at: 0,
-            witness: OutageWitness::default(),
+            checked_at: 0,
+            quorum: OutageQuorum::default(),
         }
     }
 
-    /// Notes the workers that there are, with their halls.
+    /// Sets the known workers and their halls.
     pub fn note_workers(&mut self, workers: impl IntoIterator<Item = (WorkerId, HallId)>) {
         let halls: HashMap<WorkerId, HallId> = workers.into_iter().collect();
         if halls != self.halls {
@@ -144,45 +147,45 @@
         }
     }
 
-    /// Takes a relay in; an earlier connection of the same host is to be closed by whoever holds it.
+    /// Adds a relay. The caller has to close an earlier connection of the same host.
     ///
     /// # Errors
-    /// It speaks another version.
+    /// The relay uses another message version.
     pub fn join(
         &mut self,
         now: Millis,
-        greeting: RelayGreeting,
+        handshake: RelayHandshake,
     ) -> Result<RelayNumber, RelayFault> {
-        if greeting.version != RELAY_VERSION {
-            return Err(RelayFault::OtherVersion(greeting.version));
+        if handshake.version != RELAY_VERSION {
+            return Err(RelayFault::OtherVersion(handshake.version));
         }
         self.relay_count += 1;
         let number = RelayNumber(self.relay_count);
         let state = RelayState {
-            share: RelayShare {
+            candidate: RelayCandidate {
                 relay: number,
-                host: greeting.host,
-                hall: greeting.hall,
-                processor_millis: greeting.processor_millis,
+                host: handshake.host,
+                hall: handshake.hall,
+                processor_millicores: handshake.processor_millicores,
             },
             last_heard: now,
-            last_told: now,
+            last_sent_at: now,
             outbox: Vec::new(),
             leaves: false,
         };
-        let RelayShare { host, hall, .. } = &state.share;
-        self.witness.note_linked(host, hall);
+        let RelayCandidate { host, hall, .. } = &state.candidate;
+        self.quorum.note_connected(host, hall);
         self.relays.insert(number, state);
         self.forget_plan();
         Ok(number)
     }
 
-    /// Gives a relay up: what it had under way may have been done, or may be done later.
+    /// Removes a relay. Returns its open orders as unanswered: they may have been carried out, or may be carried out later.
     pub fn leave(&mut self, now: Millis, relay: RelayNumber) -> Vec<JobEvent> {
         let Some(gone) = self.relays.remove(&relay) else {
             return Vec::new();
         };
-        self.witness.note_unlinked(now, &gone.share.host);
+        self.quorum.note_disconnected(now, &gone.candidate.host);
         self.forget_plan();
         let lost = self.open.iter().filter(|(_, order)| order.relay == relay);
         let mut lost: Vec<u64> = lost.map(|(number, _)| *number).collect();
@@ -193,7 +196,7 @@
         lost.map(|order| order.unanswered()).collect()
     }
 
-    /// Chooses the way of an order; one that goes through a relay waits for [`RelayDesk::take_messages`].
+    /// Chooses the route of an order. An order through a relay is queued until [`RelayDispatcher::take_messages`].
     pub fn route(
         &mut self,
         now: Millis,
@@ -211,14 +214,14 @@
             WorkerCall::Start(start) => (OrderKind::Start(start.key), 0),
             WorkerCall::Stop(key) => (OrderKind::Stop(*key), 0),
             WorkerCall::Pace(key, _) => (OrderKind::Pace(*key), 0),
-            WorkerCall::Hold(hold) => (OrderKind::Hold, hold.wait_ms),
+            WorkerCall::Renew(renewal) => (OrderKind::Renew, renewal.wait_ms),
         };
         self.order_count += 1;
         let order = OpenOrder {
             relay: number,
             worker: worker.clone(),
             kind,
-            until: now + wait_ms + ANSWER_WITHIN_MS,
+            until: now + wait_ms + ANSWER_TIMEOUT_MS,
         };
         self.open.insert(self.order_count, order);
         relay.outbox.push(RelayedOrder {
@@ -230,19 +233,19 @@
         OrderRoute::Relayed(number)
     }
 
-    /// The host that the newest order to a worker went through.
+    /// The host that relayed the newest order to a worker; none if the owner called the worker itself.
     pub fn carrier(&self, worker: &WorkerId) -> Option<&HostId> {
         let number = (*self.routes.get(worker)?)?;
-        Some(&self.relays.get(&number)?.share.host)
+        Some(&self.relays.get(&number)?.candidate.host)
     }
 
-    /// The orders that wait to be told, one message for each relay.
+    /// Takes the queued orders, one message for each relay.
     pub fn take_messages(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
         let epoch = self.epoch;
         let waiting = self.relays.iter_mut();
         let waiting = waiting.filter(|(_, relay)| !relay.outbox.is_empty());
-        let told = waiting.map(|(number, relay)| {
-            relay.last_told = now;
+        let messages = waiting.map(|(number, relay)| {
+            relay.last_sent_at = now;
             let orders = std::mem::take(&mut relay.outbox);
             let batch = OrderBatch {
                 epoch,
@@ -251,35 +254,41 @@
             };
             (*number, RelayMessage::Orders(batch))
         });
-        told.collect()
+        messages.collect()
     }
 
-    /// Takes in a relay's answers. Those to orders that it doesn't carry change nothing: they came too late, or another relay
+    /// Handles a message of a relay. Answers to orders that the relay doesn't carry are ignored: they arrived too late, or another relay
     /// was given the order.
-    pub fn take(&mut self, now: Millis, relay: RelayNumber, message: RelayMessage) -> RelayIntake {
-        let mut intake = RelayIntake::default();
+    pub fn handle_message(
+        &mut self,
+        now: Millis,
+        relay: RelayNumber,
+        message: RelayMessage,
+    ) -> RelayOutcome {
+        let mut outcome = RelayOutcome::default();
         let (epoch, answers, leaves) = match message {
             RelayMessage::Answers(epoch, answers) => (epoch, answers, false),
             RelayMessage::Leaves(epoch) => (epoch, Vec::new(), true),
-            RelayMessage::Knows(epoch, number, sight) => {
+            RelayMessage::ShardReply(epoch, number, observation) => {
                 if let Some(state) = self.relays.get(&relay).filter(|_| epoch == self.epoch) {
-                    self.witness.take(&state.share.host, number, sight);
-                    intake.followed_by = Some(sight.epoch).filter(|seen| *seen > epoch);
+                    self.quorum
+                        .record_reply(&state.candidate.host, number, observation);
+                    outcome.newer_epoch = Some(observation.epoch).filter(|seen| *seen > epoch);
                 }
                 (epoch, Vec::new(), false)
             }
-            RelayMessage::Orders(..) | RelayMessage::Asks(..) => {
-                intake.faults.push(RelayFault::Misdirected);
-                return intake;
+            RelayMessage::Orders(..) | RelayMessage::ShardQuery(..) => {
+                outcome.faults.push(RelayFault::Misdirected);
+                return outcome;
             }
         };
         let Some(state) = self.relays.get_mut(&relay) else {
-            intake.faults.push(RelayFault::UnknownRelay);
-            return intake;
+            outcome.faults.push(RelayFault::UnknownRelay);
+            return outcome;
         };
         if epoch != self.epoch {
-            intake.faults.push(RelayFault::OtherEpoch(epoch));
-            return intake;
+            outcome.faults.push(RelayFault::OtherEpoch(epoch));
+            return outcome;
         }
         state.last_heard = now;
         if leaves && !state.leaves {
@@ -288,11 +297,11 @@
         }
         for (number, answer) in answers {
             match self.answer(relay, number, answer) {
-                Ok(event) => intake.events.push(event),
-                Err(fault) => intake.faults.push(fault),
+                Ok(event) => outcome.events.push(event),
+                Err(fault) => outcome.faults.push(fault),
             }
         }
-        intake
+        outcome
     }
 
     fn answer(
@@ -309,56 +318,60 @@
         Ok(event)
     }
 
-    /// Gives up relays that leave orders without an answer or say nothing, and asks quiet ones to say that they live.
-    pub fn tick(&mut self, now: Millis) -> RelayIntake {
-        let mut intake = RelayIntake::default();
-        if now < self.looked_at + LOOK_EVERY_MS {
-            return intake;
+    /// Removes relays that have exceeded the timeout of an order or that are silent.
+    pub fn tick(&mut self, now: Millis) -> RelayOutcome {
+        let mut outcome = RelayOutcome::default();
+        if now < self.checked_at + TIMEOUT_CHECK_INTERVAL_MS {
+            return outcome;
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let late = self.open.values().filter(|order| now > order.until);
         let mut lost: Vec<RelayNumber> = late.map(|order| order.relay).collect();
         let silent = self.relays.iter();
-        let silent = silent.filter(|(_, relay)| now > relay.last_heard + SILENT_AFTER_MS);
+        let silent = silent.filter(|(_, relay)| now > relay.last_heard + RELAY_SILENCE_TIMEOUT_MS);
         lost.extend(silent.map(|(number, _)| *number));
         lost.sort_unstable();
         lost.dedup();
         for number in &lost {
-            self.note_loss(now, *number);
-            intake.events.extend(self.leave(now, *number));
+            self.record_loss(now, *number);
+            outcome.events.extend(self.leave(now, *number));
         }
-        intake.lost = lost;
-        let before = self.shunned.len();
-        self.shunned.retain(|_, until| now < *until);
-        if self.shunned.len() < before {
+        outcome.lost = lost;
+        let before = self.excluded.len();
+        self.excluded.retain(|_, until| now < *until);
+        if self.excluded.len() < before {
             self.forget_plan();
         }
-        intake
+        outcome
     }
 
-    fn note_loss(&mut self, now: Millis, relay: RelayNumber) {
+    fn record_loss(&mut self, now: Millis, relay: RelayNumber) {
         let Some(relay) = self.relays.get(&relay) else {
             return;
         };
-        let host = relay.share.host.clone();
+        let host = relay.candidate.host.clone();
         let before = self.lost_at.insert(host.clone(), now);
-        if before.is_some_and(|at| now < at + LOSSES_WITHIN_MS) {
-            self.shunned.insert(host, now + SHUNNED_MS);
+        if before.is_some_and(|at| now < at + REPEATED_LOSS_WINDOW_MS) {
+            self.excluded.insert(host, now + EXCLUSION_MS);
         }
     }
 
-    /// The relays that are to be told that the owner lives, which they answer.
-    pub fn take_beats(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
+    /// Takes the heartbeats that are due. Relays answer them.
+    pub fn take_heartbeats(&mut self, now: Millis) -> Vec<(RelayNumber, RelayMessage)> {
         let epoch = self.epoch;
         let plan = self.plan.as_ref();
         let due = self.relays.iter_mut();
         let due = due.filter(|(number, relay)| {
             let in_use = plan.is_some_and(|plan| plan.uses(**number));
-            let every_ms = if in_use { BEAT_EVERY_MS } else { IDLE_BEAT_MS };
-            now >= relay.last_told + every_ms
+            let every_ms = if in_use {
+                HEARTBEAT_INTERVAL_MS
+            } else {
+                IDLE_HEARTBEAT_INTERVAL_MS
+            };
+            now >= relay.last_sent_at + every_ms
         });
-        let told = due.map(|(number, relay)| {
-            relay.last_told = now;
+        let messages = due.map(|(number, relay)| {
+            relay.last_sent_at = now;
             let batch = OrderBatch {
                 epoch,
                 sent_at: now,
@@ -366,12 +379,12 @@
             };
             (*number, RelayMessage::Orders(batch))
         });
-        told.collect()
+        messages.collect()
     }
 
-    /// The figures by now.
-    pub fn figures(&self) -> DeskFigures {
-        DeskFigures {
+    /// The current counts.
+    pub fn stats(&self) -> DispatcherStats {
+        DispatcherStats {
             offered: self.relays.len(),
             in_use: self.plan.as_ref().map_or(0, RelayPlan::len),
             open: self.open.len(),
@@ -384,7 +397,7 @@
     }
 
     fn relay_of(&mut self, now: Millis, worker: &WorkerId) -> Option<RelayNumber> {
-        if self.relays.is_empty() || calls_alone(self.processor_millis, self.halls.len()) {
+        if self.relays.is_empty() || calls_alone(self.processor_millicores, self.halls.len()) {
             return None;
         }
         if let Some(known) = self.routes.get(worker) {
@@ -398,10 +411,10 @@
                     *by_hall.entry(hall.clone()).or_default() += 1;
                 }
                 let stay = self.relays.values().filter(|relay| !relay.leaves);
-                let relays = stay.map(|relay| relay.share.clone());
+                let relays = stay.map(|relay| relay.candidate.clone());
                 let fit = relays.filter(|relay| {
-                    let shunned = self.shunned.get(&relay.host);
-                    shunned.is_none_or(|until| now >= *until)
+                    let excluded = self.excluded.get(&relay.host);
+                    excluded.is_none_or(|until| now >= *until)
                 });
                 self.plan.insert(RelayPlan::new(fit.collect(), &by_hall))
             }
@@ -415,13 +428,13 @@
 impl OpenOrder {
     fn unanswered(self) -> JobEvent {
         let answer = match self.kind {
-            OrderKind::Hold => HoldAnswer::Failed(OrderAnswer::Unknown).into(),
+            OrderKind::Renew => RenewalAnswer::Failed(OrderAnswer::Unknown).into(),
             _ => OrderAnswer::Unknown.into(),
         };
         self.event(answer).expect("an answer of the order's kind")
     }
 
-    /// What the scheduler is told; none where this can't be an answer to the order.
+    /// The event for the scheduler; none if the answer is not of the kind of the order.
     fn event(&self, answer: RelayedAnswer) -> Option<JobEvent> {
         let worker = self.worker.clone();
         Some(match (self.kind, answer) {
@@ -434,8 +447,8 @@
             (OrderKind::Pace(key), RelayedAnswer::Order(answer)) => {
                 JobEvent::PaceAnswered(worker, key, answer)
             }
-            (OrderKind::Hold, RelayedAnswer::Hold(answer)) => {
-                JobEvent::HoldAnswered(worker, answer)
+            (OrderKind::Renew, RelayedAnswer::Renewal(answer)) => {
+                JobEvent::RenewalAnswered(worker, answer)
             }
             _ => return None,
         })
--- a/crates/jobs/src/renewals.rs
+++ b/crates/jobs/src/renewals.rs
@@ -7,16 +7,17 @@
 
 use crate::backlog::BacklogMonitor;
 use crate::due::{DueTimes, TaskChain};
-use crate::events::{HoldCall, WorkerCall};
+use crate::events::{RenewalCall, WorkerCall};
 use crate::ids::RunKey;
 use crate::incarnation::ClockSample;
 use crate::job::TaskStage;
 use crate::limits::{
-    FOREIGN_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, IDLE_HOLD_WAIT_MS, MARKED_HOLD_MS, PROVEN_AFTER_MS,
-    TICK_MS, UNACKNOWLEDGED_HOLD_MS, UNREACHABLE_PAUSE_MS,
+    CLEARED_AFTER_MS, FOREIGN_RUN_RETENTION_MS, IDLE_RENEWAL_WAIT_MS, RENEWAL_RETRY_PAUSE_MS,
+    RENEWAL_WAIT_MS, SILENCE_RECORD_RENEWAL_PAUSE_MS, TICK_MS, UNACKNOWLEDGED_RENEWAL_PAUSE_MS,
+    UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
-use crate::reports::{EndReport, HoldAnswer, HoldReport, OrderAnswer, RunReport};
+use crate::reports::{EndReport, OrderAnswer, RenewalAnswer, RenewalReport, RunReport};
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 use crate::spec::StepSpec;
@@ -50,7 +51,7 @@
             if let Some(deadline) = call.deadline {
                 worker.incarnation.lease_deadline = worker.incarnation.lease_deadline.max(deadline);
             }
-            self.call(&id, WorkerCall::Hold(call));
+            self.call(&id, WorkerCall::Renew(call));
         }
     }
 
@@ -76,7 +77,7 @@
         &mut self,
         now: Millis,
         worker: &WorkerId,
-        answer: HoldAnswer,
+        answer: RenewalAnswer,
     ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
@@ -86,27 +87,27 @@
         match &answer {
             // An end makes the worker answer before its wait is over. Such an answer doesn't show
             // how late it came.
-            HoldAnswer::Report(_) if waited < state.renewal_wait_ms => {}
-            HoldAnswer::Report(report) => {
+            RenewalAnswer::Report(_) if waited < state.renewal_wait_ms => {}
+            RenewalAnswer::Report(report) => {
                 // The delay at the host that relayed the call is not caused by this owner.
                 let late = waited - state.renewal_wait_ms;
                 let own = late.saturating_sub(report.carrier_late_ms);
                 self.backlog.record_answer(own);
             }
-            HoldAnswer::Failed(OrderAnswer::Unknown) if !state.silence_logged => {
+            RenewalAnswer::Failed(OrderAnswer::Unknown) if !state.silence_logged => {
                 self.backlog.record_failure();
             }
-            HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
+            RenewalAnswer::Failed(_) | RenewalAnswer::Fenced => {}
         }
         match answer {
-            HoldAnswer::Report(report) => {
+            RenewalAnswer::Report(report) => {
                 self.handle_report(now, worker, sent.unwrap_or(now), report);
             }
-            HoldAnswer::Fenced => self.deposed = true,
-            HoldAnswer::Failed(answer) => {
+            RenewalAnswer::Fenced => self.deposed = true,
+            RenewalAnswer::Failed(answer) => {
                 state.unsure = true;
                 state.failed_renewals += 1;
-                self.schedule_renewal(worker, now + HOLD_RETRY_MS);
+                self.schedule_renewal(worker, now + RENEWAL_RETRY_PAUSE_MS);
                 match answer {
                     OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
                     OrderAnswer::Unreachable => {
@@ -125,7 +126,7 @@
         now: Millis,
         worker: &WorkerId,
         sent_at: Millis,
-        report: HoldReport,
+        report: RenewalReport,
     ) {
         self.update_incarnation(now, worker, sent_at, &report);
         let Some(state) = self.workers.get_mut(worker) else {
@@ -149,11 +150,11 @@
             state.incarnation.lease_deadline = state.incarnation.lease_deadline.max(inherited);
         }
         let noted = state.incarnation.noted;
-        self.withdraw_crash(worker, report.life);
+        self.withdraw_crash(worker, report.incarnation);
         if first {
             self.note(JobNote::Fenced {
                 worker: worker.clone(),
-                life: report.life,
+                incarnation: report.incarnation,
             });
         }
         let mut ended = BTreeSet::new();
@@ -225,14 +226,14 @@
         };
         let gap = match state.silence_record {
             SilenceRecord::None => self.backlog.renewal_gap_ms(),
-            SilenceRecord::Written | SilenceRecord::Removed(_) => MARKED_HOLD_MS,
+            SilenceRecord::Written | SilenceRecord::Removed(_) => SILENCE_RECORD_RENEWAL_PAUSE_MS,
         };
         state.renewal_gap_ms = gap;
         let pause = if state.incarnation.has_unwritten() {
-            UNACKNOWLEDGED_HOLD_MS.max(gap)
+            UNACKNOWLEDGED_RENEWAL_PAUSE_MS.max(gap)
         } else if state.withholds_ends(now) {
             // A worker that lists ends answers at once, whatever wait it is allowed.
-            HOLD_WAIT_MS.max(gap)
+            RENEWAL_WAIT_MS.max(gap)
         } else {
             gap
         };
@@ -291,7 +292,7 @@
     fn is_foreign(&self, now: Millis, key: &RunKey) -> bool {
         let job = &key.task.job;
         let unknown = !self.jobs.contains_key(job) && !self.finished.contains(job);
-        unknown && (self.state_pending || now < self.began_at + FOREIGN_MS)
+        unknown && (self.state_pending || now < self.claimed_at + FOREIGN_RUN_RETENTION_MS)
     }
 
     /// Adopts a run that an earlier owner started, or takes back one that was given up. Starting
@@ -300,7 +301,7 @@
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step(&key.task));
         if step.is_some_and(|step| step.waits(key.task.index, false)) {
-            self.forget_waiting(|wait| wait.task == key.task);
+            self.remove_waiting(|wait| wait.task == key.task);
         }
         let job = self.jobs.get_mut(&key.task.job);
         if let Some(task) = job.and_then(|job| job.task_mut(&key.task)) {
@@ -329,7 +330,7 @@
             gauge: run.gauge,
             // The run has survived the change of owner, so it counts as cleared unless its task
             // needs longer for that.
-            began: Some(clock.saturating_sub(PROVEN_AFTER_MS)),
+            began: Some(clock.saturating_sub(CLEARED_AFTER_MS)),
             ..RunRecord::new(
                 &step,
                 self.images.get(&step.image),
@@ -377,7 +378,7 @@
     now: Millis,
     lease: Option<Millis>,
     backlog: &BacklogMonitor,
-) -> HoldCall {
+) -> RenewalCall {
     let is_watched = |record: &RunRecord| record.target_ms > 0 || record.standing;
     let watched = worker.runs.values().any(is_watched);
     let stopping = worker.runs.values().any(|record| {
@@ -388,15 +389,15 @@
     let wait_ms = if worker.incarnation.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
-        backlog.renewal_wait_ms(HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(RENEWAL_WAIT_MS)
     } else {
-        backlog.renewal_wait_ms(IDLE_HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(IDLE_RENEWAL_WAIT_MS)
     };
     let clock = worker
         .incarnation
         .clock(now)
         .filter(|_| worker.may_extend_lease());
-    HoldCall {
+    RenewalCall {
         deadline: clock.zip(lease).map(|(clock, lease)| clock + lease),
         last_seen: match worker.owes_acknowledgement() && worker.may_acknowledge(now) {
             true => worker.incarnation.durable,
--- a/crates/jobs/src/restart.rs
+++ b/crates/jobs/src/restart.rs
@@ -12,7 +12,7 @@
 use crate::ids::RunKey;
 use crate::incarnation::IncarnationState;
 use crate::note::{JobNote, LossCause, StopCause};
-use crate::reports::HoldReport;
+use crate::reports::RenewalReport;
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 
@@ -28,15 +28,15 @@
         now: Millis,
         worker: &WorkerId,
         sent_at: Millis,
-        report: &HoldReport,
+        report: &RenewalReport,
     ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        if state.incarnation.is_other(report.life) {
+        if state.incarnation.is_other(report.incarnation) {
             self.begin_incarnation(now, worker, sent_at, report);
-        } else if state.incarnation.id.is_none() && report.life.is_some() {
-            state.incarnation.id = report.life;
+        } else if state.incarnation.id.is_none() && report.incarnation.is_some() {
+            state.incarnation.id = report.incarnation;
             self.roster_changed |= self.roster.contains(worker);
         }
     }
@@ -53,15 +53,15 @@
         now: Millis,
         worker: &WorkerId,
         sent_at: Millis,
-        report: &HoldReport,
+        report: &RenewalReport,
     ) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
-        self.note(JobNote::AnotherLife {
+        self.note(JobNote::WorkerRestarted {
             worker: worker.clone(),
             before: state.incarnation.id,
-            life: report.life,
+            incarnation: report.incarnation,
             clock_before: state.incarnation.newest_clock(),
             clock: report.clock,
             noted: state.incarnation.noted,
@@ -86,7 +86,7 @@
             // of that incarnation. The worker limits the lease to its own maximum.
             let longest = report.clock + self.limits.max_lease_ms;
             let lease_deadline = longest.min(state.incarnation.lease_deadline);
-            state.incarnation = IncarnationState::new(report.life);
+            state.incarnation = IncarnationState::new(report.incarnation);
             state.incarnation.lease_deadline = if may_be_leased { lease_deadline } else { 0 };
             state.paused_until = now;
         }
@@ -157,7 +157,7 @@
 }
 
 /// The runs that a report lists as running or ended.
-fn listed_runs(report: &HoldReport) -> BTreeSet<RunKey> {
+fn listed_runs(report: &RenewalReport) -> BTreeSet<RunKey> {
     let running = report.running.iter().map(|run| run.key);
     let ended = report.ended.iter().map(|end| end.key);
     running.chain(ended).collect()
--- a/crates/jobs/src/silent.rs
+++ b/crates/jobs/src/silent.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash::CrashSuspect;
-use crate::ids::WorkerLife;
+use crate::ids::WorkerIncarnation;
 use crate::scheduler::JobScheduler;
 use crate::worker::{SilenceRecord, WorkerState};
 
@@ -39,7 +39,7 @@
     pub suspects: BTreeMap<WorkerId, Vec<CrashSuspect>>,
     /// The incarnation in which each of these workers had its suspects.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub lives: BTreeMap<WorkerId, WorkerLife>,
+    pub lives: BTreeMap<WorkerId, WorkerIncarnation>,
 }
 
 /// An estimate of the store's clock from its answers.
@@ -91,7 +91,7 @@
         &mut self,
         worker: &WorkerId,
         over_at: u64,
-        incarnation: Option<WorkerLife>,
+        incarnation: Option<WorkerIncarnation>,
         suspects: Vec<CrashSuspect>,
     ) {
         self.being_removed.remove(worker);
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -11,7 +11,8 @@
 use crate::incarnation::{ClockSample, IncarnationState};
 use crate::interference::{InterferenceEstimate, InterferenceLoads};
 use crate::limits::{
-    ACKNOWLEDGED_WITHIN_MS, ANSWER_SOON_MS, SILENT_AFTER_MS, START_ANSWER_MS, SUSPECT_AFTER_HOLDS,
+    ACK_START_WAIT_MS, FIRST_ANSWER_TIMEOUT_MS, MAX_HEARD_AGE_FOR_ACK_MS,
+    SUSPECT_AFTER_FAILED_RENEWALS, WORKER_SILENCE_TIMEOUT_MS,
 };
 use crate::load_forecast::LoadHistory;
 use crate::reports::WorkerListing;
@@ -186,7 +187,7 @@
         let sure = |record: &RunRecord| {
             record.listed || record.answered_at.is_some() || record.ordered_at == now
         };
-        let fresh = now <= self.last_answer + ACKNOWLEDGED_WITHIN_MS;
+        let fresh = now <= self.last_answer + MAX_HEARD_AGE_FOR_ACK_MS;
         fresh && !self.unsure && self.runs.values().all(sure)
     }
 
@@ -203,7 +204,7 @@
     /// Whether a start order was sent a moment ago and its answer may still arrive in time.
     pub(crate) fn awaits_start(&self, now: Millis) -> bool {
         let awaited = |record: &RunRecord| {
-            record.phase == RunPhase::Ordered && now < record.ordered_at + START_ANSWER_MS
+            record.phase == RunPhase::Ordered && now < record.ordered_at + ACK_START_WAIT_MS
         };
         self.runs.values().any(awaited)
     }
@@ -215,7 +216,7 @@
         } else {
             0
         };
-        let limit_ms = SILENT_AFTER_MS + self.renewal_gap_ms + wait_ms;
+        let limit_ms = WORKER_SILENCE_TIMEOUT_MS + self.renewal_gap_ms + wait_ms;
         self.silence_logged || now.saturating_sub(self.last_answer) > limit_ms
     }
 
@@ -223,14 +224,14 @@
     /// it did not answer a new owner in time. A single lost call is no evidence, and while a record
     /// exists the lease can't be extended.
     pub(crate) fn is_unresponsive(&self, now: Millis) -> bool {
-        let late = now.saturating_sub(self.last_answer) > ANSWER_SOON_MS;
-        self.failed_renewals >= SUSPECT_AFTER_HOLDS || !self.incarnation.fenced && late
+        let late = now.saturating_sub(self.last_answer) > FIRST_ANSWER_TIMEOUT_MS;
+        self.failed_renewals >= SUSPECT_AFTER_FAILED_RENEWALS || !self.incarnation.fenced && late
     }
 
     /// Whether its list entry is of another incarnation than the current one. That incarnation may
     /// have another kind or capacity, or may be about to leave.
     pub(crate) fn entry_incarnation_differs(&self) -> bool {
-        self.incarnation.is_other(self.entry.life)
+        self.incarnation.is_other(self.entry.incarnation)
     }
 
     /// Whether it may be given tasks, which extends its lease. A worker that answers exists, even
--- a/crates/jobs/tests/backlog.rs
+++ b/crates/jobs/tests/backlog.rs
@@ -38,7 +38,7 @@
     loop {
         let renewal = rig.actions.iter().find_map(|action| match action {
             JobAction::Call {
-                call: WorkerCall::Hold(hold),
+                call: WorkerCall::Renew(hold),
                 ..
             } => Some(hold.wait_ms),
             _ => None,
--- a/crates/jobs/tests/capacity.rs
+++ b/crates/jobs/tests/capacity.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use sandshelf_jobs::{
-    HoldAnswer, HoldReport, JobEvent, JobNumber, JobSpec, OrderAnswer, QueueRules, RunKey,
+    JobEvent, JobNumber, JobSpec, OrderAnswer, QueueRules, RenewalAnswer, RenewalReport, RunKey,
     StepSpec, TakeoverInfo, WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
@@ -172,19 +172,19 @@
         start.key,
         OrderAnswer::Done(clock),
     ));
-    let report = |clock, running| HoldReport {
-        life: None,
+    let report = |clock, running| RenewalReport {
+        incarnation: None,
         clock,
         running,
         ended: vec![],
         carrier_late_ms: 0,
     };
-    let early = HoldAnswer::Report(report(clock, vec![]));
-    rig.tell(JobEvent::HoldAnswered(worker.clone(), early));
+    let early = RenewalAnswer::Report(report(clock, vec![]));
+    rig.tell(JobEvent::RenewalAnswered(worker.clone(), early));
     rig.pass(50);
     assert!(rig.take_starts().is_empty(), "the run may still be running");
-    let later = HoldAnswer::Report(report(clock + 50, vec![]));
-    rig.tell(JobEvent::HoldAnswered(worker, later));
+    let later = RenewalAnswer::Report(report(clock + 50, vec![]));
+    rig.tell(JobEvent::RenewalAnswered(worker, later));
     rig.pass(50);
     assert_eq!(rig.take_starts().len(), 1);
 }
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -4,10 +4,10 @@
 
 use proptest::prelude::*;
 use sandshelf_jobs::relay::{
-    decode_greeting, decode_message, encode_greeting, encode_message, waits_for_relays, RelayDesk,
-    RelayFault, RelayMessage,
+    decode_handshake, decode_message, encode_handshake, encode_message, waits_for_relays,
+    RelayDispatcher, RelayFault, RelayMessage,
 };
-use sandshelf_jobs::{HoldAnswer, HoldCall, JobEvent, OrderAnswer, StartCall, WorkerCall};
+use sandshelf_jobs::{JobEvent, OrderAnswer, RenewalAnswer, RenewalCall, StartCall, WorkerCall};
 use sandshelf_model::WorkerId;
 use support::relaying::*;
 
@@ -19,7 +19,7 @@
     }
     let relayed = (0..66).filter_map(|number| route(&mut desk, 0, number, hold()));
     assert_eq!(relayed.count(), 0);
-    assert_eq!(desk.figures().in_use, 0);
+    assert_eq!(desk.stats().in_use, 0);
 }
 
 fn without_relays_all_is_called_directly() {
@@ -40,13 +40,18 @@
 
 /// As few relays as have room: 200 workers a hall need two strong hosts, or nine weak ones.
 fn as_few_relays_as_have_room() {
-    let in_use = |processor_millis| {
+    let in_use = |processor_millicores| {
         let mut desk = desk(STRONG, 400);
         for host in 0..20 {
-            join(&mut desk, &format!("h-{host:02}"), host, processor_millis);
+            join(
+                &mut desk,
+                &format!("h-{host:02}"),
+                host,
+                processor_millicores,
+            );
         }
         route(&mut desk, 0, 0, hold());
-        desk.figures().in_use
+        desk.stats().in_use
     };
     assert_eq!((in_use(STRONG), in_use(WEAK)), (4, 18));
 }
@@ -83,12 +88,12 @@
     route(&mut desk, 0, 2, start(1));
     let unanswered = desk.leave(0, relay);
     let expected = [
-        JobEvent::HoldAnswered(worker(0), HoldAnswer::Failed(OrderAnswer::Unknown)),
+        JobEvent::RenewalAnswered(worker(0), RenewalAnswer::Failed(OrderAnswer::Unknown)),
         JobEvent::StartAnswered(worker(2), key(1), OrderAnswer::Unknown),
     ];
     assert_eq!(unanswered, expected);
     assert_eq!(desk.leave(0, relay), []);
-    let late = desk.take(5, relay, answers(vec![(1, report())]));
+    let late = desk.handle_message(5, relay, answers(vec![(1, report())]));
     assert_eq!(
         (late.events.len(), late.faults),
         (0, vec![RelayFault::UnknownRelay])
@@ -128,9 +133,9 @@
 fn a_silent_relay_is_lost() {
     let mut desk = desk(STRONG, 400);
     let relay = join(&mut desk, "a", 0, STRONG);
-    let asked = desk.take_beats(2_000);
+    let asked = desk.take_heartbeats(2_000);
     assert_eq!(asked, [(relay, orders_of(EPOCH, 2_000))]);
-    desk.take(5_900, relay, answers(Vec::new()));
+    desk.handle_message(5_900, relay, answers(Vec::new()));
     assert_eq!(desk.tick(6_100).lost, []);
     assert_eq!(desk.tick(12_000).lost, [relay]);
 }
@@ -141,10 +146,10 @@
     let leaving = join(&mut desk, "a", 0, STRONG);
     let staying = join(&mut desk, "b", 1, STRONG);
     assert_eq!(route(&mut desk, 0, 0, start(1)), Some(leaving));
-    desk.take(1, leaving, RelayMessage::Leaves(EPOCH));
+    desk.handle_message(1, leaving, RelayMessage::Leaves(EPOCH));
     assert_eq!(route(&mut desk, 2, 0, hold()), Some(staying));
     let told = answers(vec![(1, OrderAnswer::Done(1).into())]);
-    assert_eq!(desk.take(3, leaving, told).events.len(), 1);
+    assert_eq!(desk.handle_message(3, leaving, told).events.len(), 1);
     assert_eq!(desk.leave(0, leaving), []);
     assert_eq!(route(&mut desk, 4, 0, hold()), Some(staying));
 }
@@ -189,10 +194,10 @@
         (north, orders_of(EPOCH, 0), RelayFault::Misdirected),
     ];
     for (relay, message, fault) in cases {
-        let intake = desk.take(1, relay, message);
+        let intake = desk.handle_message(1, relay, message);
         assert_eq!((intake.events, intake.faults), (vec![], vec![fault]));
     }
-    let good = desk.take(2, north, answers(vec![(1, OrderAnswer::Done(1).into())]));
+    let good = desk.handle_message(2, north, answers(vec![(1, OrderAnswer::Done(1).into())]));
     let done = JobEvent::StartAnswered(worker(0), key(1), OrderAnswer::Done(1));
     assert_eq!(good.events, [done]);
 }
@@ -205,7 +210,7 @@
         (1, OrderAnswer::Done(1).into()),
         (1, OrderAnswer::Done(1).into()),
     ];
-    let intake = desk.take(1, relay, answers(twice));
+    let intake = desk.handle_message(1, relay, answers(twice));
     assert_eq!(
         (intake.events.len(), intake.faults),
         (1, vec![RelayFault::UnknownOrder(1)])
@@ -215,9 +220,9 @@
 fn other_versions_are_told_apart() {
     let mut other = greeting("a", 0, STRONG);
     other.version += 1;
-    let bytes = encode_greeting(&other);
+    let bytes = encode_handshake(&other);
     let refused = Err(RelayFault::OtherVersion(other.version));
-    assert_eq!(decode_greeting(&bytes), refused);
+    assert_eq!(decode_handshake(&bytes), refused);
     let mut desk = desk(STRONG, 400);
     assert_eq!(
         desk.join(0, other.clone()),
@@ -227,16 +232,16 @@
 
 /// Ten holds in one message, with names as long as the platform's: a call of its own takes 240 bytes and more.
 fn a_hold_takes_few_bytes() {
-    let mut desk = RelayDesk::new(EPOCH, WEAK);
+    let mut desk = RelayDispatcher::new(EPOCH, WEAK);
     let name = |number: usize| WorkerId::from(format!("i-{number:010x}"));
     desk.note_workers((0..890).map(|number| (name(number), hall(number))));
     join(&mut desk, "a", 0, STRONG);
-    let call = WorkerCall::Hold(HoldCall {
+    let call = WorkerCall::Renew(RenewalCall {
         deadline: Some(482_113),
         last_seen: 157,
         wait_ms: 500,
     });
-    let bytes = |holds: usize, desk: &mut RelayDesk| {
+    let bytes = |holds: usize, desk: &mut RelayDispatcher| {
         for number in 0..holds {
             desk.route(
                 0,
@@ -253,9 +258,9 @@
 
 /// A new owner with an eighth of a core waits for help before its first calls to 890 workers, a strong one doesn't.
 fn a_weak_owner_waits_for_relays() {
-    let waits = |processor_millis, hosts| {
+    let waits = |processor_millicores, hosts| {
         let offers: Vec<_> = (0..hosts).map(|host| greeting("h", host, WEAK)).collect();
-        waits_for_relays(processor_millis, 890, offers.iter())
+        waits_for_relays(processor_millicores, 890, offers.iter())
     };
     assert!(!waits(STRONG, 0));
     assert!(waits(WEAK, 0));
@@ -288,7 +293,7 @@
 
     #[test]
     fn no_bytes_make_a_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let _ = decode_greeting(&bytes);
+        let _ = decode_handshake(&bytes);
         if let Ok(message) = decode_message(&bytes) {
             prop_assert_eq!(decode_message(&encode_message(&message)), Ok(message));
         }
