--- a/crates/jobs/src/answers.rs
+++ b/crates/jobs/src/answers.rs
@@ -1,11 +1,12 @@
-//! What becomes of orders: answers of workers, and their silence.
+//! Handles the answers of workers to orders, and orders that got no answer.
 
 use sandshelf_model::{Millis, WorkerId};
 
 use crate::ids::{RunKey, TaskKey};
-use crate::life::ClockSight;
+use crate::incarnation::ClockSample;
 use crate::limits::{
-    INVALID_PAUSE_MS, NO_ROOM_PAUSE_MS, OLDEST_ANSWER_MS, UNHEALTHY_PAUSE_MS, UNREACHABLE_PAUSE_MS,
+    INVALID_ORDER_PAUSE_MS, MAX_ORDER_AGE_MS, NO_ROOM_PAUSE_MS, UNHEALTHY_PAUSE_MS,
+    UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{OrderAnswer, RefusalReason};
@@ -14,8 +15,8 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Takes in the answer to an order to start.
-    pub(crate) fn take_start_answer(
+    /// Handles the answer to a start order.
+    pub(crate) fn handle_start_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -32,8 +33,8 @@
         match answer {
             OrderAnswer::Done(clock) => self.run_began(now, worker, key, clock),
             OrderAnswer::Refused(clock, reason) => {
-                let asked = self.start_asked(now, worker, &key);
-                self.take_sight(now, worker, ClockSight { clock, asked });
+                let sent_at = self.start_sent_at(now, worker, &key);
+                self.record_order_clock(now, worker, ClockSample { clock, sent_at });
                 match reason {
                     RefusalReason::Fenced => self.deposed = true,
                     RefusalReason::NoRoom => self.pause_worker(worker, now + NO_ROOM_PAUSE_MS),
@@ -50,7 +51,7 @@
             }
             OrderAnswer::NotSent => self.drop_run(now, worker, &key),
             OrderAnswer::Invalid => {
-                self.delay_task(&key.task, now + INVALID_PAUSE_MS);
+                self.delay_task(&key.task, now + INVALID_ORDER_PAUSE_MS);
                 self.drop_run(now, worker, &key);
             }
             OrderAnswer::Unreachable => {
@@ -62,18 +63,19 @@
         }
     }
 
-    /// When the order to start a run went out; one that is not known any more may have been sent long ago.
-    fn start_asked(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
+    /// When the start order of a run was sent. An order that is not known any more may have been
+    /// sent long ago.
+    fn start_sent_at(&self, now: Millis, worker: &WorkerId, key: &RunKey) -> Millis {
         let state = self.workers.get(worker);
         let record = state.and_then(|state| state.runs.get(key));
-        record.map_or(now.saturating_sub(OLDEST_ANSWER_MS), |record| {
+        record.map_or(now.saturating_sub(MAX_ORDER_AGE_MS), |record| {
             record.ordered_at
         })
     }
 
     fn run_began(&mut self, now: Millis, worker: &WorkerId, key: RunKey, clock: u64) {
-        let asked = self.start_asked(now, worker, &key);
-        let known = self.take_sight(now, worker, ClockSight { clock, asked });
+        let sent_at = self.start_sent_at(now, worker, &key);
+        let known = self.record_order_clock(now, worker, ClockSample { clock, sent_at });
         if let Some(record) = self.record_mut(worker, &key) {
             let settles = matches!(record.phase, RunPhase::Ordered | RunPhase::Unsettled);
             if known {
@@ -83,16 +85,16 @@
             if settles {
                 record.phase = match known {
                     true => RunPhase::Running(clock),
-                    false => RunPhase::Elsewhere(now),
+                    false => RunPhase::OtherIncarnation(now),
                 };
             }
         }
         self.note_begun(&key.task);
-        self.probe_begun(now, worker, key);
-        self.guard_worker(now, worker);
+        self.schedule_probes(now, worker, key);
+        self.update_paces(now, worker);
     }
 
-    /// Notes that some task of the job has begun.
+    /// Records that a task of the job has begun.
     pub(crate) fn note_begun(&mut self, key: &TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Takes in the answer to an order to stop.
-    pub(crate) fn take_stop_answer(
+    /// Handles the answer to a stop order.
+    pub(crate) fn handle_stop_answer(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -127,8 +129,8 @@
                 self.stop_answered(now, worker, key, clock);
             }
             OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
-            OrderAnswer::Unreachable => self.check_left(now, worker),
-            // It is sent again.
+            OrderAnswer::Unreachable => self.remove_if_left(now, worker),
+            // The stop order is sent again.
             OrderAnswer::Unhealthy
             | OrderAnswer::Invalid
             | OrderAnswer::NotSent
@@ -136,19 +138,20 @@
         }
     }
 
-    /// A stop was answered; what a life that is not known answers says nothing of the one that it was meant for.
+    /// Handles a stop that was answered. An answer of an unknown incarnation says nothing about the
+    /// incarnation that the order was meant for.
     fn stop_answered(&mut self, now: Millis, worker: &WorkerId, key: RunKey, clock: u64) {
         let record = self.record_mut(worker, &key);
-        let asked = match record.map(|record| record.phase) {
+        let sent_at = match record.map(|record| record.phase) {
             Some(RunPhase::Stopping { sent, .. }) => sent,
-            _ => now.saturating_sub(OLDEST_ANSWER_MS),
+            _ => now.saturating_sub(MAX_ORDER_AGE_MS),
         };
-        let known = self.take_sight(now, worker, ClockSight { clock, asked });
+        let known = self.record_order_clock(now, worker, ClockSample { clock, sent_at });
         if let Some(record) = self.record_mut(worker, &key).filter(|_| known) {
             if let RunPhase::Stopping { answered, .. } = &mut record.phase {
                 *answered = Some(clock);
             }
         }
-        self.hold_soon(now, worker);
+        self.renew_soon(now, worker);
     }
 }
--- /dev/null
+++ b/crates/jobs/src/crash/tracker.rs
@@ -0,0 +1,129 @@
+//! The tasks with recorded crashes, and the workers that are reserved for their next start.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use sandshelf_model::{Millis, WorkerId};
+
+use super::CrashNote;
+use crate::ids::{JobNumber, RunKey, TaskKey, WorkerIncarnation};
+use crate::limits::{
+    AVOID_AFTER_CRASH_MS, MASS_FAILURE_WINDOW_MS, UNEXPLAINED_FAILURE_RETENTION_MS,
+};
+
+/// An incarnation of a worker that is presumed to have crashed.
+#[derive(Clone, Debug)]
+pub(super) struct PresumedCrash {
+    pub(super) incarnation: Option<WorkerIncarnation>,
+    /// The runs under which the crash was recorded.
+    pub(super) runs: Vec<RunKey>,
+}
+
+/// A crash under a task whose job has not been read yet.
+#[derive(Clone, Debug)]
+pub(super) struct PendingCrash {
+    pub(super) worker: WorkerId,
+    pub(super) key: TaskKey,
+    pub(super) note: CrashNote,
+}
+
+/// The tasks under which workers crashed, and the workers that are reserved for their next start.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CrashTracker {
+    /// The tasks with a recorded crash.
+    pub(super) noted: BTreeSet<TaskKey>,
+    /// The tasks whose newest crash note is not durable yet.
+    pub(super) unwritten: BTreeSet<TaskKey>,
+    /// Workers on which only one task may be started, with the task and the time at which the
+    /// reservation lapses if the task is still waiting.
+    pub(super) reserved: BTreeMap<WorkerId, (TaskKey, Millis)>,
+    /// Probes to be sent, by time.
+    pub(super) probes: BTreeSet<(Millis, WorkerId, RunKey)>,
+    /// Crashes recorded for workers that became silent and are not known to have crashed: the same
+    /// incarnation may still answer.
+    pub(super) presumed: BTreeMap<WorkerId, PresumedCrash>,
+    /// Crashes that were found before the jobs were read.
+    pub(super) pending: Vec<PendingCrash>,
+    /// Where and when workers crashed recently.
+    crashed_at: BTreeMap<SocketAddr, Millis>,
+    /// The times at which workers were last heard from that went down without an uncleared run on
+    /// them.
+    unexplained: Vec<Millis>,
+}
+
+impl CrashTracker {
+    /// Whether a task may be started on a worker: the worker is not reserved for another task.
+    pub(crate) fn allows_start(&self, worker: &WorkerId, task: &TaskKey) -> bool {
+        self.reserved
+            .get(worker)
+            .is_none_or(|(reserved_for, _)| reserved_for == task)
+    }
+
+    /// Records that a task was restored with crash notes.
+    pub(crate) fn note_restored(&mut self, task: TaskKey) {
+        self.noted.insert(task);
+    }
+
+    /// Discards crashes under tasks whose jobs were not among those that were read.
+    pub(crate) fn forget_pending(&mut self) {
+        self.pending.clear();
+    }
+
+    /// Discards the data of a job that has ended.
+    pub(crate) fn forget_job(&mut self, job: JobNumber) {
+        self.noted.retain(|task| task.job != job);
+        self.unwritten.retain(|task| task.job != job);
+        self.reserved.retain(|_, (task, _)| task.job != job);
+        self.presumed.retain(|_, crash| {
+            crash.runs.retain(|run| run.task.job != job);
+            !crash.runs.is_empty()
+        });
+    }
+
+    /// Whether a worker at this address crashed recently.
+    pub(crate) fn crashed_lately(&self, now: Millis, address: &SocketAddr) -> bool {
+        let at = self.crashed_at.get(address);
+        at.is_some_and(|at| now < at + AVOID_AFTER_CRASH_MS)
+    }
+
+    /// Records that a worker went down that was last heard from at `heard_at`, and on which no run
+    /// was uncleared.
+    pub(super) fn note_unexplained(&mut self, now: Millis, heard_at: Millis) {
+        self.unexplained
+            .retain(|at| now < at + UNEXPLAINED_FAILURE_RETENTION_MS);
+        self.unexplained.push(heard_at);
+    }
+
+    /// How many such workers were last heard from at about this time.
+    pub(super) fn unexplained_near(&self, heard_at: Millis) -> usize {
+        let near = self.unexplained.iter();
+        near.filter(|at| at.abs_diff(heard_at) <= MASS_FAILURE_WINDOW_MS)
+            .count()
+    }
+
+    /// Discards a task that is cleared or whose crash notes were withdrawn.
+    pub(super) fn forget_task(&mut self, task: &TaskKey) {
+        self.noted.remove(task);
+        self.unwritten.remove(task);
+        self.reserved
+            .retain(|_, (reserved_for, _)| reserved_for != task);
+    }
+
+    /// Records that a worker at this address crashed.
+    pub(super) fn note_crash_address(&mut self, now: Millis, address: SocketAddr) {
+        self.crashed_at
+            .retain(|_, at| now < *at + AVOID_AFTER_CRASH_MS);
+        self.crashed_at.insert(address, now);
+    }
+
+    /// Removes and returns the tasks of these jobs whose crash notes are about to be written.
+    pub(crate) fn take_unwritten(&mut self, jobs: &[JobNumber]) -> Vec<TaskKey> {
+        if self.unwritten.is_empty() {
+            return Vec::new();
+        }
+        let written = self
+            .unwritten
+            .extract_if(.., |task| jobs.contains(&task.job));
+        written.collect()
+    }
+}
--- a/crates/jobs/src/foreign.rs
+++ b/crates/jobs/src/foreign.rs
@@ -1,6 +1,7 @@
-//! Runs and ends that workers report of jobs whose rows have yet to be read.
+//! Runs and ends that workers report for jobs whose rows have not been read yet.
 //!
-//! Where the store is slow, an earlier owner may learn of a job, and start it, before its successor reads the job's row.
+//! When the store is slow, an earlier owner may learn of a job and start it before its successor
+//! has read the job's row.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +10,48 @@
 use crate::ids::{JobNumber, RunKey};
 use crate::reports::{EndReport, RunReport, WorkerClock};
 
-/// What was seen of one run.
+/// What a worker reported about one run.
 #[derive(Clone, Debug)]
-pub(crate) enum ForeignSight {
-    /// It is at work, by a report of this time of the worker's clock.
-    AtWork(WorkerClock, RunReport),
-    /// It has ended.
+pub(crate) enum ForeignReport {
+    /// The run is running, by a report at this time of the worker's clock.
+    Running(WorkerClock, RunReport),
+    /// The run has ended.
     Ended(EndReport),
 }
 
-/// Everything seen of unknown jobs, by run.
+/// Everything reported for unknown jobs, by run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForeignRuns {
-    seen: BTreeMap<RunKey, (WorkerId, ForeignSight)>,
+    seen: BTreeMap<RunKey, (WorkerId, ForeignReport)>,
 }
 
 impl ForeignRuns {
     pub(crate) fn note_run(&mut self, worker: &WorkerId, clock: WorkerClock, run: RunReport) {
-        let sight = ForeignSight::AtWork(clock, run.clone());
-        self.seen.insert(run.key, (worker.clone(), sight));
+        let report = ForeignReport::Running(clock, run.clone());
+        self.seen.insert(run.key, (worker.clone(), report));
     }
 
     pub(crate) fn note_end(&mut self, worker: &WorkerId, end: EndReport) {
-        let sight = ForeignSight::Ended(end.clone());
-        self.seen.insert(end.key, (worker.clone(), sight));
+        let report = ForeignReport::Ended(end.clone());
+        self.seen.insert(end.key, (worker.clone(), report));
     }
 
-    /// A worker, or its life, is no more: what was at work there is gone. Ends that it listed have come about.
-    pub(crate) fn forget_work(&mut self, worker: &WorkerId) {
-        let gone = |known: &WorkerId, sight: &ForeignSight| {
-            known == worker && matches!(sight, ForeignSight::AtWork(..))
+    /// Discards the running runs of a worker that is gone or has restarted. Ends that it listed
+    /// have happened and are kept.
+    pub(crate) fn forget_running(&mut self, worker: &WorkerId) {
+        let gone = |known: &WorkerId, report: &ForeignReport| {
+            known == worker && matches!(report, ForeignReport::Running(..))
         };
-        self.seen.retain(|_, (known, sight)| !gone(known, sight));
+        self.seen.retain(|_, (known, report)| !gone(known, report));
     }
 
-    /// Whether anything was seen on a worker.
-    pub(crate) fn names(&self, worker: &WorkerId) -> bool {
+    /// Whether anything was reported by a worker.
+    pub(crate) fn has_reports_of(&self, worker: &WorkerId) -> bool {
         self.seen.values().any(|(known, _)| known == worker)
     }
 
-    /// Takes out what was seen of a job that has become known.
-    pub(crate) fn take(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignSight)> {
+    /// Removes and returns the reports for a job that has become known.
+    pub(crate) fn take_reports_of(&mut self, job: JobNumber) -> Vec<(WorkerId, ForeignReport)> {
         let of_job = |key: &RunKey| key.task.job == job;
         let keys: Vec<RunKey> = self.seen.keys().copied().filter(of_job).collect();
         keys.iter()
--- a/crates/jobs/src/holds.rs
+++ b/crates/jobs/src/renewals.rs
@@ -1,109 +1,118 @@
-//! Holds: the calls that prolong a worker's lease, acknowledge ends and read what is at work.
+//! Lease renewals: the calls that extend a worker's lease, acknowledge ends and read which runs are
+//! running.
 
 use std::collections::BTreeSet;
 
 use sandshelf_model::{Millis, WorkerId};
 
+use crate::backlog::BacklogMonitor;
 use crate::due::{DueTimes, TaskChain};
-use crate::events::{HoldCall, WorkerCall};
+use crate::events::{RenewalCall, WorkerCall};
 use crate::ids::RunKey;
+use crate::incarnation::ClockSample;
 use crate::job::TaskStage;
-use crate::life::ClockSight;
 use crate::limits::{
-    FOREIGN_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, IDLE_HOLD_WAIT_MS, MARKED_HOLD_MS, PROVEN_AFTER_MS,
-    TICK_MS, UNACKNOWLEDGED_HOLD_MS, UNREACHABLE_PAUSE_MS,
+    CLEARED_AFTER_MS, FOREIGN_RUN_RETENTION_MS, IDLE_RENEWAL_WAIT_MS, RENEWAL_RETRY_PAUSE_MS,
+    RENEWAL_WAIT_MS, SILENCE_RECORD_RENEWAL_PAUSE_MS, TICK_MS, UNACKNOWLEDGED_RENEWAL_PAUSE_MS,
+    UNREACHABLE_PAUSE_MS,
 };
 use crate::note::{JobNote, LossCause, StopCause};
-use crate::reports::{EndReport, HoldAnswer, HoldReport, OrderAnswer, RunReport};
+use crate::reports::{EndReport, OrderAnswer, RenewalAnswer, RenewalReport, RunReport};
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 use crate::spec::StepSpec;
-use crate::strain::WorkStrain;
-use crate::worker::{LeaseMark, WorkerState};
+use crate::worker::{SilenceRecord, WorkerState};
 
 impl JobScheduler {
-    /// Sends the holds that are due.
-    pub(crate) fn send_holds(&mut self, now: Millis) {
-        let lease = (!self.may_be_followed(now)).then(|| self.granted_lease_ms());
+    /// Sends the renewals that are due.
+    pub(crate) fn send_renewals(&mut self, now: Millis) {
+        let lease = (!self.may_be_succeeded(now)).then(|| self.granted_lease_ms());
         let mut due = Vec::new();
-        while self.hold_queue.first().is_some_and(|(at, _)| *at <= now) {
-            due.extend(self.hold_queue.pop_first().map(|(_, id)| id));
+        while self.renewal_queue.first().is_some_and(|(at, _)| *at <= now) {
+            due.extend(self.renewal_queue.pop_first().map(|(_, id)| id));
         }
         due.sort_unstable();
         for id in due {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
             };
-            if worker.hold_sent.is_some() || now < worker.hold_due {
+            if worker.renewal_sent_at.is_some() || now < worker.renewal_due_at {
                 continue;
             }
             if worker.awaits_start(now) && worker.withholds_ends(now) {
-                self.hold_at(&id, now + TICK_MS);
+                self.schedule_renewal(&id, now + TICK_MS);
                 continue;
             }
-            let call = next_hold(worker, now, lease, &self.strain);
-            worker.hold_sent = Some(now);
-            worker.hold_wait = call.wait_ms;
-            worker.hold_seen = call.last_seen;
-            worker.hold_prolongs = call.deadline.is_some();
+            let call = next_renewal(worker, now, lease, &self.backlog);
+            worker.renewal_sent_at = Some(now);
+            worker.renewal_wait_ms = call.wait_ms;
+            worker.renewal_acknowledges = call.last_seen;
+            worker.renewal_extends_lease = call.deadline.is_some();
             if let Some(deadline) = call.deadline {
-                worker.life.granted = worker.life.granted.max(deadline);
+                worker.incarnation.lease_deadline = worker.incarnation.lease_deadline.max(deadline);
             }
-            self.call(&id, WorkerCall::Hold(call));
+            self.call(&id, WorkerCall::Renew(call));
         }
     }
 
-    /// Has a worker's state read at the next chance.
-    pub(crate) fn hold_soon(&mut self, now: Millis, worker: &WorkerId) {
+    /// Schedules a renewal of a worker for the next tick.
+    pub(crate) fn renew_soon(&mut self, now: Millis, worker: &WorkerId) {
         if let Some(state) = self.workers.get(worker) {
-            self.hold_at(worker, state.hold_due.min(now));
+            self.schedule_renewal(worker, state.renewal_due_at.min(now));
         }
     }
 
-    /// Has a worker's state read at a time.
-    pub(crate) fn hold_at(&mut self, worker: &WorkerId, at: Millis) {
+    /// Schedules the next renewal of a worker.
+    pub(crate) fn schedule_renewal(&mut self, worker: &WorkerId, at: Millis) {
         if let Some(state) = self.workers.get_mut(worker) {
-            self.hold_queue.remove(&(state.hold_due, worker.clone()));
-            state.hold_due = at;
-            self.hold_queue.insert((at, worker.clone()));
+            self.renewal_queue
+                .remove(&(state.renewal_due_at, worker.clone()));
+            state.renewal_due_at = at;
+            self.renewal_queue.insert((at, worker.clone()));
         }
     }
 
-    /// Takes in the answer to a hold.
-    pub(crate) fn take_hold(&mut self, now: Millis, worker: &WorkerId, answer: HoldAnswer) {
+    /// Handles the answer to a renewal.
+    pub(crate) fn handle_renewal_answer(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        answer: RenewalAnswer,
+    ) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        let sent = state.hold_sent.take();
+        let sent = state.renewal_sent_at.take();
         let waited = now.saturating_sub(sent.unwrap_or(now));
         match &answer {
-            // An end answers a look before its wait is over; such an answer doesn't tell how late it came.
-            HoldAnswer::Report(_) if waited < state.hold_wait => {}
-            HoldAnswer::Report(report) => {
-                // What the call took elsewhere says nothing of this owner.
-                let late = waited - state.hold_wait;
+            // An end makes the worker answer before its wait is over. Such an answer doesn't show
+            // how late it came.
+            RenewalAnswer::Report(_) if waited < state.renewal_wait_ms => {}
+            RenewalAnswer::Report(report) => {
+                // The delay at the host that relayed the call is not caused by this owner.
+                let late = waited - state.renewal_wait_ms;
                 let own = late.saturating_sub(report.carrier_late_ms);
-                self.strain.note_answer(own);
+                self.backlog.record_answer(own);
             }
-            HoldAnswer::Failed(OrderAnswer::Unknown) if !state.told_silent => {
-                self.strain.note_failure();
+            RenewalAnswer::Failed(OrderAnswer::Unknown) if !state.silence_logged => {
+                self.backlog.record_failure();
             }
-            HoldAnswer::Failed(_) | HoldAnswer::Fenced => {}
+            RenewalAnswer::Failed(_) | RenewalAnswer::Fenced => {}
         }
         match answer {
-            HoldAnswer::Report(report) => {
-                self.take_report(now, worker, sent.unwrap_or(now), report);
+            RenewalAnswer::Report(report) => {
+                self.handle_report(now, worker, sent.unwrap_or(now), report);
             }
-            HoldAnswer::Fenced => self.deposed = true,
-            HoldAnswer::Failed(answer) => {
+            RenewalAnswer::Fenced => self.deposed = true,
+            RenewalAnswer::Failed(answer) => {
                 state.unsure = true;
-                state.failed_holds += 1;
-                self.hold_at(worker, now + HOLD_RETRY_MS);
+                state.failed_renewals += 1;
+                self.schedule_renewal(worker, now + RENEWAL_RETRY_PAUSE_MS);
                 match answer {
                     OrderAnswer::Replaced => self.lose_worker(now, worker, LossCause::Replaced),
                     OrderAnswer::Unreachable => {
                         self.pause_worker(worker, now + UNREACHABLE_PAUSE_MS);
-                        self.check_left(now, worker);
+                        self.remove_if_left(now, worker);
                     }
                     _ => {}
                 }
@@ -111,32 +120,41 @@
         }
     }
 
-    /// Takes in a report; the look that it answers went out at `asked`.
-    fn take_report(&mut self, now: Millis, worker: &WorkerId, asked: Millis, report: HoldReport) {
-        self.take_life(now, worker, asked, &report);
+    /// Handles a worker's report; the renewal that it answers was sent at `sent_at`.
+    fn handle_report(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sent_at: Millis,
+        report: RenewalReport,
+    ) {
+        self.update_incarnation(now, worker, sent_at, &report);
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        state.life.acknowledged = state.life.acknowledged.max(state.hold_seen);
-        let sight = ClockSight {
+        state.incarnation.acknowledged = state
+            .incarnation
+            .acknowledged
+            .max(state.renewal_acknowledges);
+        let sample = ClockSample {
             clock: report.clock,
-            asked,
+            sent_at,
         };
-        state.note_answer(now, sight);
+        state.note_answer(now, sample);
         state.suspects.clear();
-        let first = !state.life.fenced;
-        state.life.fenced = true;
+        let first = !state.incarnation.fenced;
+        state.incarnation.fenced = true;
         if first {
-            // Until it is prolonged, its lease is that of the earlier owner.
+            // Until this owner extends it, the lease is the one that the earlier owner granted.
             let inherited = report.clock + self.inherited_lease_ms;
-            state.life.granted = state.life.granted.max(inherited);
+            state.incarnation.lease_deadline = state.incarnation.lease_deadline.max(inherited);
         }
-        let noted = state.life.noted;
-        self.withdraw_crash(worker, report.life);
+        let noted = state.incarnation.noted;
+        self.withdraw_crash(worker, report.incarnation);
         if first {
             self.note(JobNote::Fenced {
                 worker: worker.clone(),
-                life: report.life,
+                incarnation: report.incarnation,
             });
         }
         let mut ended = BTreeSet::new();
@@ -145,11 +163,12 @@
         for end in report.ended {
             ended.insert(end.key);
             if end.number <= newest {
-                self.note_passed_over(worker, &end, newest);
+                self.log_passed_over_end(worker, &end, newest);
                 continue;
             }
             if self.is_foreign(now, &end.key) {
-                // Not acknowledged, nor any after it: the job's row has yet to be read.
+                // Neither this end nor any after it is acknowledged: the job's row has not been
+                // read yet.
                 held_back = true;
                 self.foreign.note_end(worker, end);
                 continue;
@@ -157,11 +176,11 @@
             if !held_back {
                 newest = end.number;
             }
-            self.take_end(now, worker, end);
+            self.handle_end(now, worker, end);
         }
         if let Some(state) = self.workers.get_mut(worker) {
-            state.life.noted = newest;
-            self.unacknowledged |= newest > state.life.durable;
+            state.incarnation.noted = newest;
+            self.unacknowledged |= newest > state.incarnation.durable;
         }
         let mut listed = BTreeSet::new();
         for run in report.running {
@@ -170,25 +189,25 @@
                 self.foreign.note_run(worker, report.clock, run);
                 continue;
             }
-            self.take_running(now, worker, report.clock, run);
+            self.handle_running_report(now, worker, report.clock, run);
         }
-        let sight = ClockSight {
+        let sample = ClockSample {
             clock: report.clock,
-            asked,
+            sent_at,
         };
-        self.drop_missing(now, worker, sight, &listed);
+        self.drop_unlisted(now, worker, sample, &listed);
         if first {
             self.note_answered(worker);
             self.check_recovery(now);
             self.room_changed = true;
         }
         self.learn_readings(now, worker);
-        self.guard_worker(now, worker);
-        self.plan_hold(now, worker);
+        self.update_paces(now, worker);
+        self.schedule_next_renewal(now, worker);
     }
 
-    /// Tells of an end that is passed over although its run has no end yet.
-    fn note_passed_over(&mut self, worker: &WorkerId, end: &EndReport, noted: u64) {
+    /// Logs an end that is ignored for its number although its run has no end yet.
+    fn log_passed_over_end(&mut self, worker: &WorkerId, end: &EndReport, noted: u64) {
         let state = self.workers.get(worker);
         if state.is_some_and(|state| state.runs.contains_key(&end.key)) {
             self.note(JobNote::EndPassedOver {
@@ -200,28 +219,28 @@
         }
     }
 
-    /// Sets when the next hold is due: at once, unless listed ends can't be acknowledged yet.
-    fn plan_hold(&mut self, now: Millis, worker: &WorkerId) {
+    /// Schedules the next renewal: at once, unless listed ends can't be acknowledged yet.
+    fn schedule_next_renewal(&mut self, now: Millis, worker: &WorkerId) {
         let Some(state) = self.workers.get_mut(worker) else {
             return;
         };
-        let gap = match state.mark {
-            LeaseMark::None => self.strain.hold_gap_ms(),
-            LeaseMark::Marked | LeaseMark::Removed(_) => MARKED_HOLD_MS,
+        let gap = match state.silence_record {
+            SilenceRecord::None => self.backlog.renewal_gap_ms(),
+            SilenceRecord::Written | SilenceRecord::Removed(_) => SILENCE_RECORD_RENEWAL_PAUSE_MS,
         };
-        state.hold_gap = gap;
-        let pause = if state.life.has_unwritten() {
-            UNACKNOWLEDGED_HOLD_MS.max(gap)
+        state.renewal_gap_ms = gap;
+        let pause = if state.incarnation.has_unwritten() {
+            UNACKNOWLEDGED_RENEWAL_PAUSE_MS.max(gap)
         } else if state.withholds_ends(now) {
-            // A worker that lists ends answers at once, however long it may wait.
-            HOLD_WAIT_MS.max(gap)
+            // A worker that lists ends answers at once, whatever wait it is allowed.
+            RENEWAL_WAIT_MS.max(gap)
         } else {
             gap
         };
-        self.hold_at(worker, now + pause);
+        self.schedule_renewal(worker, now + pause);
     }
 
-    pub(crate) fn take_running(
+    pub(crate) fn handle_running_report(
         &mut self,
         now: Millis,
         worker: &WorkerId,
@@ -239,17 +258,17 @@
             record.listed = true;
             if matches!(
                 record.phase,
-                RunPhase::Ordered | RunPhase::Unsettled | RunPhase::Elsewhere(_)
+                RunPhase::Ordered | RunPhase::Unsettled | RunPhase::OtherIncarnation(_)
             ) {
                 record.phase = RunPhase::Running(clock);
                 self.note_begun(&key.task);
             }
-            self.clear_proven(worker, &key);
+            self.clear_if_survived(worker, &key);
             self.stop_again(now, worker, key, clock);
             return;
         }
         let adopted = self.may_adopt(&key) && !self.has_ended(&key);
-        let record = self.record_of(&key, run, clock);
+        let record = self.record_from_report(&key, run, clock);
         if adopted {
             self.adopt(worker, &key);
         }
@@ -261,26 +280,28 @@
         }
     }
 
-    /// Whether an end of this run, or of a later one, was taken in.
+    /// Whether an end of this run, or of a later run of its task, was processed.
     fn has_ended(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
         task.is_some_and(|task| key.run <= task.last_ended)
     }
 
-    /// Whether a run is of a job that is not known yet, but may be: one that an earlier owner began in its last moments.
+    /// Whether a run belongs to a job that is not known yet but may exist: an earlier owner may
+    /// have started it shortly before this one took over.
     fn is_foreign(&self, now: Millis, key: &RunKey) -> bool {
         let job = &key.task.job;
         let unknown = !self.jobs.contains_key(job) && !self.finished.contains(job);
-        unknown && (self.state_pending || now < self.began_at + FOREIGN_MS)
+        unknown && (self.state_pending || now < self.claimed_at + FOREIGN_RUN_RETENTION_MS)
     }
 
-    /// Takes over a run that an earlier owner started, or takes one back that was given up: started anew beside it the task would run twice.
+    /// Adopts a run that an earlier owner started, or takes back one that was given up. Starting
+    /// the task again would make it run twice.
     fn adopt(&mut self, worker: &WorkerId, key: &RunKey) {
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step(&key.task));
         if step.is_some_and(|step| step.waits(key.task.index, false)) {
-            self.forget_waiting(|wait| wait.task == key.task);
+            self.remove_waiting(|wait| wait.task == key.task);
         }
         let job = self.jobs.get_mut(&key.task.job);
         if let Some(task) = job.and_then(|job| job.task_mut(&key.task)) {
@@ -293,11 +314,11 @@
         self.note_begun(&key.task);
     }
 
-    fn record_of(&self, key: &RunKey, run: RunReport, clock: u64) -> RunRecord {
+    fn record_from_report(&self, key: &RunKey, run: RunReport, clock: u64) -> RunRecord {
         let job = self.jobs.get(&key.task.job);
         let step = job.and_then(|job| job.step_spec(&key.task));
         let room = step.map(StepSpec::room);
-        let room = room.or_else(|| self.ended_rooms.of(&key.task));
+        let room = room.or_else(|| self.ended_job_sizes.of(&key.task));
         let step = step.cloned().unwrap_or_default();
         RunRecord {
             due: job.map_or(DueTimes::never(), |job| job.due),
@@ -307,8 +328,9 @@
             checkpoint: run.checkpoint,
             percent: run.percent,
             gauge: run.gauge,
-            // It has outlived the change of owner, so that it counts as proven unless its task needs longer for that.
-            began: Some(clock.saturating_sub(PROVEN_AFTER_MS)),
+            // The run has survived the change of owner, so it counts as cleared unless its task
+            // needs longer for that.
+            began: Some(clock.saturating_sub(CLEARED_AFTER_MS)),
             ..RunRecord::new(
                 &step,
                 self.images.get(&step.image),
@@ -318,23 +340,23 @@
         }
     }
 
-    /// Gives up runs that the worker would have to list and does not.
-    fn drop_missing(
+    /// Gives up runs that the worker would have listed if it had them.
+    fn drop_unlisted(
         &mut self,
         now: Millis,
         worker: &WorkerId,
-        sight: ClockSight,
+        sample: ClockSample,
         listed: &BTreeSet<RunKey>,
     ) {
-        let ClockSight { clock, asked } = sight;
+        let ClockSample { clock, sent_at } = sample;
         let Some(state) = self.workers.get(worker) else {
             return;
         };
         let missing = state.runs.iter().filter(|(key, record)| {
             let settled = match record.phase {
                 RunPhase::Ordered | RunPhase::Unsettled => clock > record.start_deadline,
-                RunPhase::Elsewhere(answered) => asked >= answered,
-                RunPhase::Running(began) => clock > began && record.would_be_listed(asked),
+                RunPhase::OtherIncarnation(answered) => sent_at >= answered,
+                RunPhase::Running(began) => clock > began && record.would_be_listed(sent_at),
                 RunPhase::Stopping { answered, .. } => {
                     answered.is_some_and(|answered| clock > answered)
                         || clock > record.start_deadline
@@ -349,32 +371,36 @@
     }
 }
 
-/// Makes a worker's next hold, with the lease to grant, if any; it waits for an end unless some are waiting to be acknowledged.
-fn next_hold(
+/// Builds a worker's next renewal with the lease to grant, if any. The call waits for an end unless
+/// there are ends to acknowledge.
+fn next_renewal(
     worker: &WorkerState,
     now: Millis,
     lease: Option<Millis>,
-    strain: &WorkStrain,
-) -> HoldCall {
+    backlog: &BacklogMonitor,
+) -> RenewalCall {
     let is_watched = |record: &RunRecord| record.target_ms > 0 || record.standing;
     let watched = worker.runs.values().any(is_watched);
     let stopping = worker.runs.values().any(|record| {
         matches!(record.phase, RunPhase::Stopping { answered, .. } if answered.is_some())
             || record.phase == RunPhase::Unsettled
     });
-    let at_once = !worker.life.fenced || !worker.may_prolong();
-    let wait_ms = if worker.life.has_unwritten() || worker.withholds_ends(now) || at_once {
+    let at_once = !worker.incarnation.fenced || !worker.may_extend_lease();
+    let wait_ms = if worker.incarnation.has_unwritten() || worker.withholds_ends(now) || at_once {
         0
     } else if watched || stopping {
-        strain.hold_wait_ms(HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(RENEWAL_WAIT_MS)
     } else {
-        strain.hold_wait_ms(IDLE_HOLD_WAIT_MS)
+        backlog.renewal_wait_ms(IDLE_RENEWAL_WAIT_MS)
     };
-    let clock = worker.life.clock(now).filter(|_| worker.may_prolong());
-    HoldCall {
+    let clock = worker
+        .incarnation
+        .clock(now)
+        .filter(|_| worker.may_extend_lease());
+    RenewalCall {
         deadline: clock.zip(lease).map(|(clock, lease)| clock + lease),
         last_seen: match worker.owes_acknowledgement() && worker.may_acknowledge(now) {
-            true => worker.life.durable,
+            true => worker.incarnation.durable,
             false => 0,
         },
         wait_ms,
--- a/crates/jobs/src/settle.rs
+++ b/crates/jobs/src/settle.rs
@@ -1,11 +1,11 @@
-//! What becomes of runs: answers to orders, ends, and runs that can't be at work any more.
+//! Run outcomes: stop orders, reported ends, and runs that can't be running any more.
 
 use sandshelf_model::{JobId, Millis, WorkerId};
 
 use crate::events::WorkerCall;
 use crate::ids::{RunKey, TaskKey};
+use crate::incarnation::ClockSample;
 use crate::job::TaskStage;
-use crate::life::ClockSight;
 use crate::limits::STOP_RETRY_MS;
 use crate::note::{JobNote, LossCause, StopCause};
 use crate::reports::{EndReport, RunOutcome, WorkerClock};
@@ -14,7 +14,7 @@
 use crate::stage::JobStage;
 
 impl JobScheduler {
-    /// Orders a run to stop, once.
+    /// Orders a run to stop, unless it was ordered already.
     pub(crate) fn stop_run(
         &mut self,
         now: Millis,
@@ -40,7 +40,7 @@
         });
     }
 
-    /// Sends stops anew that got no answer.
+    /// Sends stop orders again that got no answer.
     pub(crate) fn resend_stops(&mut self, now: Millis) {
         while self.stop_queue.front().is_some_and(|(at, ..)| *at <= now) {
             let Some((_, worker, key)) = self.stop_queue.pop_front() else {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Orders a run to stop once more that a worker lists although it had answered a stop long enough before, by its clock.
+    /// Orders a run to stop again if the worker still lists it long enough after it answered a stop
+    /// order, by the worker's clock.
     pub(crate) fn stop_again(
         &mut self,
         now: Millis,
@@ -79,8 +80,8 @@
         self.call(worker, WorkerCall::Stop(key));
     }
 
-    /// Takes in an end that a worker lists.
-    pub(crate) fn take_end(&mut self, now: Millis, worker: &WorkerId, end: EndReport) {
+    /// Handles an end that a worker lists.
+    pub(crate) fn handle_end(&mut self, now: Millis, worker: &WorkerId, end: EndReport) {
         let record = self.remove_record(now, worker, &end.key);
         let earlier = self.is_of_earlier_owner(&end.key);
         let adopted = earlier && self.may_adopt(&end.key);
@@ -96,7 +97,7 @@
             worker: worker.clone(),
             outcome: end.outcome,
         });
-        self.judge_worker(now, worker, &end);
+        self.update_quarantine(now, worker, &end);
         let key = end.key.task;
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return;
@@ -119,13 +120,14 @@
                 task.checkpoint = checkpoint;
             }
         }
-        let other = match &task.stage {
+        let current = match &task.stage {
             TaskStage::Live { worker, run } if *run != end.key.run => Some((worker.clone(), *run)),
             _ => None,
         };
-        let spent = failed && self.count_failure(now, end.key);
-        // The end of a run beside the one that counts says nothing of that one, unless the task is done.
-        if let Some((worker, run)) = other {
+        let exhausted = failed && self.count_failure(now, end.key);
+        // The end of another run than the current one doesn't affect the current one, unless the
+        // task is done.
+        if let Some((worker, run)) = current {
             if end.outcome == RunOutcome::Done && !standing {
                 self.task_done(now, key);
                 self.stop_run(
@@ -139,25 +141,27 @@
         }
         match end.outcome {
             RunOutcome::Done if !standing => self.task_done(now, key),
-            // A standing task may fail as often as it likes.
+            // The failures of a standing task are not limited.
             RunOutcome::Failed
-                if newest && !spent && !standing && self.may_have_failed_more(&key) =>
+                if newest && !exhausted && !standing && self.may_have_unreported_failures(&key) =>
             {
-                self.hold_back(&key);
+                self.defer_task(&key);
             }
-            _ if newest && !spent => self.task_freed(now, key),
+            _ if newest && !exhausted => self.requeue_task(now, key),
             _ => {}
         }
     }
 
-    /// Whether workers that have yet to answer this owner may tell of failed runs of a task that nobody wrote down.
-    fn may_have_failed_more(&self, key: &TaskKey) -> bool {
+    /// Whether workers that have not answered this owner yet may report failed runs of a task that
+    /// were never recorded.
+    fn may_have_unreported_failures(&self, key: &TaskKey) -> bool {
         let inherited = self.jobs.get(&key.job).is_some_and(|job| job.inherited);
         self.recovery.is_some() && inherited
     }
 
-    /// Keeps a task back until all workers have answered, or can hold nothing of an earlier owner's any more.
-    fn hold_back(&mut self, key: &TaskKey) {
+    /// Defers a task until all workers have answered, or can't hold anything of an earlier owner
+    /// any more.
+    fn defer_task(&mut self, key: &TaskKey) {
         self.mark_dirty(key.job);
         let job = self.jobs.get_mut(&key.job);
         if let Some(task) = job.and_then(|job| job.task_mut(key)) {
@@ -165,17 +169,18 @@
                 task.stage = TaskStage::Unfound;
             }
         }
-        self.forget_waiting(|wait| wait.task == *key);
+        self.remove_waiting(|wait| wait.task == *key);
     }
 
-    /// Whether a run was ordered by an earlier owner, and this one has not given it up.
+    /// Whether a run was ordered by an earlier owner and was not given up by this one.
     fn is_of_earlier_owner(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
         key.run < self.run_number(0) && task.is_some_and(|task| !task.given_up.contains(&key.run))
     }
 
-    /// Whether a run that this owner did not order may be taken over: nothing else of the task is at work.
+    /// Whether a run that this owner did not order may be adopted: no other run of the task is
+    /// running.
     pub(crate) fn may_adopt(&self, key: &RunKey) -> bool {
         let job = self.jobs.get(&key.task.job);
         let task = job.and_then(|job| job.task(&key.task));
@@ -197,7 +202,7 @@
         };
         let waited = step.waits(key.index, gang);
         if gang {
-            // The members of a gang end together: one such end stands for all.
+            // The members of a gang end together: the end of one counts for all.
             for task in &mut step.tasks {
                 task.stage = TaskStage::Done;
             }
@@ -207,14 +212,15 @@
             step.done += 1;
         }
         if waited {
-            self.forget_waiting(|wait| wait.task == key);
+            self.remove_waiting(|wait| wait.task == key);
         }
         self.note_begun(&key);
         self.mark_dirty(key.job);
         self.open_job_steps(now, key.job);
     }
 
-    /// Counts a failed run, once; returns true where that was one too many and the job has ended.
+    /// Counts a failed run, once. Returns true if the task has now failed too often, so that its
+    /// job has ended.
     fn count_failure(&mut self, now: Millis, run: RunKey) -> bool {
         let key = run.task;
         let Some(job) = self.jobs.get(&key.job) else {
@@ -232,17 +238,17 @@
             return false;
         }
         task.failed_runs.push(run.run);
-        let spent = task.failed_runs.len() >= most;
+        let exhausted = task.failed_runs.len() >= most;
         self.note_begun(&key);
         self.mark_dirty(key.job);
-        if spent {
+        if exhausted {
             self.finish_job(now, key.job, JobStage::Failed);
         }
-        spent
+        exhausted
     }
 
-    /// A run of the task is over and the task is not done: it goes back into the queue.
-    fn task_freed(&mut self, now: Millis, key: TaskKey) {
+    /// Handles the end of a run whose task is not done: the task goes back into the queue.
+    fn requeue_task(&mut self, now: Millis, key: TaskKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
@@ -250,11 +256,11 @@
             return;
         };
         let (gang, standing) = (step.gang, step.standing);
-        let remembered = job.task(&key).is_some_and(|task| task.checkpoint.is_some());
-        if !standing || remembered {
+        let has_checkpoint = job.task(&key).is_some_and(|task| task.checkpoint.is_some());
+        if !standing || has_checkpoint {
             self.mark_dirty(key.job);
         }
-        // Another worker may hold a later run of it, or its step's turn has not come: it is freed in its time.
+        // A worker may hold a later run of it, or its step may not be open yet: it is queued later.
         let stage = self.jobs.get(&key.job).and_then(|job| job.task(&key));
         let stage = stage.map(|task| &task.stage);
         if matches!(stage, Some(TaskStage::Unfound | TaskStage::Blocked)) {
@@ -262,11 +268,12 @@
         }
         self.enqueue(now, key);
         if gang {
-            self.mend_gang(now, key);
+            self.stop_partial_gang(now, key);
         }
     }
 
-    /// Gives up a run that is certainly not at work and has no end; its task goes back into the queue.
+    /// Gives up a run that is certainly not running and has no end. Its task goes back into the
+    /// queue.
     pub(crate) fn drop_run(&mut self, now: Millis, worker: &WorkerId, key: &RunKey) {
         let Some(record) = self.remove_record(now, worker, key) else {
             return;
@@ -282,11 +289,11 @@
             if record.checkpoint.is_some() {
                 task.checkpoint = record.checkpoint;
             }
-            self.task_freed(now, key.task);
+            self.requeue_task(now, key.task);
         }
     }
 
-    /// Gives up one run and tells so.
+    /// Gives up one run and logs it.
     pub(crate) fn lose_run(
         &mut self,
         now: Millis,
@@ -316,39 +323,41 @@
         }
     }
 
-    /// Notes that a worker is no more.
+    /// Removes a worker that no longer exists.
     pub(crate) fn lose_worker(&mut self, now: Millis, worker: &WorkerId, cause: LossCause) {
         let Some(state) = self.workers.get(worker) else {
             return;
         };
-        let (runs, newest) = (state.runs.len(), self.unproven_runs(state));
+        let (runs, newest) = (state.runs.len(), self.uncleared_runs(state));
         self.note(JobNote::WorkerGone {
             worker: worker.clone(),
             cause,
             runs,
             newest,
         });
-        self.lose_crashed(now, worker, cause);
+        self.handle_worker_loss(now, worker, cause);
         self.workers.remove(worker);
-        self.foreign.forget_work(worker);
+        self.foreign.forget_running(worker);
         self.worker_order = None;
         self.quarantine.forget(worker);
         self.roster_changed |= self.roster.remove(worker);
         if let Some(recovery) = &mut self.recovery {
-            recovery.lost_some |= recovery.unanswered.remove(worker).is_some();
+            recovery.worker_lost |= recovery.unanswered.remove(worker).is_some();
         }
     }
 
-    /// A worker that said that it leaves, is not listed and takes no connection has left.
-    pub(crate) fn check_left(&mut self, now: Millis, worker: &WorkerId) {
+    /// Removes a draining worker that is not listed any more. It has left, since it takes no
+    /// connection.
+    pub(crate) fn remove_if_left(&mut self, now: Millis, worker: &WorkerId) {
         let left = |state: &crate::worker::WorkerState| state.entry.draining && !state.listed;
         if self.workers.get(worker).is_some_and(left) {
             self.lose_worker(now, worker, LossCause::Left);
         }
     }
 
-    /// Counts failures and successes of a worker, to keep tasks away from one that fails all.
-    fn judge_worker(&mut self, now: Millis, worker: &WorkerId, end: &EndReport) {
+    /// Counts failures and successes of a worker for its quarantine: a worker on which everything
+    /// fails gets no new tasks.
+    fn update_quarantine(&mut self, now: Millis, worker: &WorkerId, end: &EndReport) {
         match end.outcome {
             RunOutcome::Failed => {
                 let job = JobId::from(end.key.task.job.to_string());
@@ -377,14 +386,20 @@
         record
     }
 
-    /// Takes in the clock that an order was answered with; returns whether the life that is known has answered it.
-    pub(crate) fn take_sight(&mut self, now: Millis, worker: &WorkerId, sight: ClockSight) -> bool {
+    /// Records the clock in an answer to an order. Returns whether the current incarnation has
+    /// answered.
+    pub(crate) fn record_order_clock(
+        &mut self,
+        now: Millis,
+        worker: &WorkerId,
+        sample: ClockSample,
+    ) -> bool {
         let Some(state) = self.workers.get_mut(worker) else {
             return false;
         };
-        let known = state.take_sight(now, sight);
+        let known = state.record_order_clock(now, sample);
         if !known {
-            self.hold_soon(now, worker);
+            self.renew_soon(now, worker);
         }
         known
     }
--- a/crates/jobs/src/start.rs
+++ b/crates/jobs/src/start.rs
@@ -1,4 +1,4 @@
-//! Orders to start tasks where places were found for them.
+//! Sends the orders to start tasks on the workers chosen for them.
 
 use sandshelf_model::{Millis, WorkerId};
 
@@ -6,13 +6,13 @@
 use crate::events::{StartCall, WorkerCall};
 use crate::ids::{RunKey, TaskKey};
 use crate::job::TaskStage;
-use crate::limits::START_VALID_MS;
+use crate::limits::START_ORDER_TTL_MS;
 use crate::note::JobNote;
 use crate::run::{RunPhase, RunRecord};
 use crate::scheduler::JobScheduler;
 
 impl JobScheduler {
-    /// Orders tasks to start; the members of a gang share the run's number and checkpoint.
+    /// Orders tasks to start; the members of a gang share one run number and one checkpoint.
     pub(crate) fn start_tasks(&mut self, now: Millis, places: Vec<(TaskKey, WorkerId)>) {
         let Some(first) = places.first().map(|(key, _)| *key) else {
             return;
@@ -20,7 +20,7 @@
         let gang = places.len() > 1;
         for (key, worker) in &places {
             if self.caution_of(key) == StartCaution::Alone {
-                self.keep_worker(now, worker.clone(), *key);
+                self.reserve_worker(now, worker.clone(), *key);
             }
         }
         let checkpoint = gang.then(|| self.gang_checkpoint(&first)).flatten();
@@ -28,16 +28,16 @@
             return;
         };
         let step = job.step(&first);
-        let before = step.map_or(0, |step| {
+        let runs_before = step.map_or(0, |step| {
             let members = step.tasks.iter().enumerate();
             let members = members.filter(|(index, _)| gang || *index == first.index as usize);
             members.map(|(_, task)| task.runs).max().unwrap_or(0)
         });
-        let run = self.run_number(before);
+        let run = self.run_number(runs_before);
         for (key, worker) in places {
             let run = RunKey { task: key, run };
             self.note_restart(&run, &worker);
-            self.start_task(now, run, before + 1, worker, checkpoint.clone());
+            self.start_task(now, run, runs_before + 1, worker, checkpoint.clone());
         }
     }
 
@@ -77,8 +77,8 @@
             return;
         };
         let image = self.images.get(&step.image);
-        let deadline = state.life.clock(now).unwrap_or(0) + START_VALID_MS;
-        state.life.granted = state.life.granted.max(deadline);
+        let deadline = state.incarnation.clock(now).unwrap_or(0) + START_ORDER_TTL_MS;
+        state.incarnation.lease_deadline = state.incarnation.lease_deadline.max(deadline);
         let free_cpu = state.free().cpu_millis;
         let mut record = RunRecord::new(&step, image, RunPhase::Ordered, deadline);
         record.due = due;
@@ -90,7 +90,7 @@
             state.fills_changed_at = now;
         }
         let resumed = checkpoint.is_some();
-        self.starts_under_way += 1;
+        self.unanswered_starts += 1;
         self.call(
             &worker,
             WorkerCall::Start(StartCall {
--- a/crates/jobs/tests/support/crashing/mod.rs
+++ b/crates/jobs/tests/support/crashing/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sandshelf_jobs::{
-    EndReport, HoldAnswer, HoldCall, JobEvent, JobNumber, JobSpec, JobStage, OrderAnswer,
-    ProgressRow, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerLife,
+    EndReport, JobEvent, JobNumber, JobSpec, JobStage, OrderAnswer, ProgressRow, RenewalAnswer,
+    RenewalCall, RunKey, RunOutcome, SilentWorkers, TakeoverInfo, TaskKey, WorkerIncarnation,
     WorkerListing, WorkerRoster,
 };
 use sandshelf_model::{Millis, WorkerId};
@@ -46,7 +46,7 @@
     runs: BTreeMap<RunKey, Millis>,
     ended: Vec<EndReport>,
     end_count: u64,
-    hold: Option<(Millis, HoldCall)>,
+    hold: Option<(Millis, RenewalCall)>,
 }
 
 /// A start that a worker carried out.
@@ -88,10 +88,10 @@
 
 impl FleetWorker {
     /// Which life under its name it is; a worker that never bears one again doesn't say it.
-    fn life(&self, returns: CrashReturn) -> Option<WorkerLife> {
+    fn life(&self, returns: CrashReturn) -> Option<WorkerIncarnation> {
         match returns {
             CrashReturn::Replaced => None,
-            CrashReturn::Restarts(_) => Some(WorkerLife(self.lives as u64)),
+            CrashReturn::Restarts(_) => Some(WorkerIncarnation(self.lives as u64)),
         }
     }
 
@@ -258,10 +258,10 @@
         worker.ended.clear();
         if let Some((at, call)) = worker.hold.take() {
             let id = WorkerId::from(worker.name.as_str());
-            let failed = HoldAnswer::Failed(OrderAnswer::Unknown);
+            let failed = RenewalAnswer::Failed(OrderAnswer::Unknown);
             let given_up = at + call.wait_ms + PATIENCE_MS;
             self.answers
-                .push((given_up, JobEvent::HoldAnswered(id, failed)));
+                .push((given_up, JobEvent::RenewalAnswered(id, failed)));
         }
         self.fuses.retain(|(_, place, _)| *place != index);
         let crashing = lost.keys().filter(|run| Some(run.task) != under);
@@ -324,7 +324,7 @@
             .filter(|worker| worker.back_at.is_none());
         let returns = self.returns;
         let entries = here.map(|worker| WorkerListing {
-            life: worker.life(returns),
+            incarnation: worker.life(returns),
             ..listing(&worker.name)
         });
         let list = entries.collect();
--- a/crates/jobs/tests/support/relaying.rs
+++ b/crates/jobs/tests/support/relaying.rs
@@ -1,10 +1,11 @@
 //! An owner of many workers in two halls, hosts that carry its orders, and what passes between them.
 
 use sandshelf_jobs::relay::{
-    OrderBatch, OrderRoute, RelayDesk, RelayGreeting, RelayMessage, RelayNumber, RelayedAnswer,
+    OrderBatch, OrderRoute, RelayDispatcher, RelayHandshake, RelayMessage, RelayNumber,
+    RelayedAnswer,
 };
 use sandshelf_jobs::{
-    HoldAnswer, HoldCall, HoldReport, JobNumber, RunKey, StartCall, TaskKey, WorkerCall,
+    JobNumber, RenewalAnswer, RenewalCall, RenewalReport, RunKey, StartCall, TaskKey, WorkerCall,
 };
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 
@@ -26,31 +27,31 @@
 }
 
 /// An owner of so many workers in two halls.
-pub fn desk(processor_millis: u64, workers: usize) -> RelayDesk {
-    let mut desk = RelayDesk::new(EPOCH, processor_millis);
+pub fn desk(processor_millicores: u64, workers: usize) -> RelayDispatcher {
+    let mut desk = RelayDispatcher::new(EPOCH, processor_millicores);
     desk.note_workers((0..workers).map(|number| (worker(number), hall(number))));
     desk
 }
 
 /// What a host says as it joins.
-pub fn greeting(host: &str, hall_number: usize, processor_millis: u64) -> RelayGreeting {
-    RelayGreeting::new(HostId::from(host), hall(hall_number), processor_millis)
+pub fn greeting(host: &str, hall_number: usize, processor_millicores: u64) -> RelayHandshake {
+    RelayHandshake::new(HostId::from(host), hall(hall_number), processor_millicores)
 }
 
 /// A host joins; returns how the owner calls it.
 pub fn join(
-    desk: &mut RelayDesk,
+    desk: &mut RelayDispatcher,
     host: &str,
     hall_number: usize,
-    processor_millis: u64,
+    processor_millicores: u64,
 ) -> RelayNumber {
-    let greeting = greeting(host, hall_number, processor_millis);
+    let greeting = greeting(host, hall_number, processor_millicores);
     desk.join(0, greeting).expect("the same version")
 }
 
 /// A call that holds a worker.
 pub fn hold() -> WorkerCall {
-    WorkerCall::Hold(HoldCall {
+    WorkerCall::Renew(RenewalCall {
         deadline: Some(4_000),
         last_seen: 3,
         wait_ms: 500,
@@ -82,7 +83,7 @@
 
 /// Gives an owner a call to make; returns which host carries it, if one does.
 pub fn route(
-    desk: &mut RelayDesk,
+    desk: &mut RelayDispatcher,
     now: Millis,
     number: usize,
     call: WorkerCall,
@@ -96,8 +97,8 @@
 
 /// A worker's answer to a hold.
 pub fn report() -> RelayedAnswer {
-    HoldAnswer::Report(HoldReport {
-        life: None,
+    RenewalAnswer::Report(RenewalReport {
+        incarnation: None,
         carrier_late_ms: 0,
         clock: 10,
         running: Vec::new(),
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in configurations, handed-off tasks and the platform's list of workers.
+//! Applies configurations, adopts handed-off tasks, applies the platform's list of workers and queues waiting tasks.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,15 +7,15 @@
 use sandshelf_model::{
     rendezvous_score, AttemptId, JobId, Millis, Revision, ShardId, TaskId, WorkerId,
 };
-use sandshelf_place::{PlaceWeights, WorkerEntry, WorkerTenant};
+use sandshelf_place::{PlaceWeights, TaskReservation, WorkerEntry};
 
-use crate::book::TaskStage;
-use crate::contact::WorkerContact;
 use crate::journal::{JournalRecord, TaskHandoff};
 use crate::owner::ShardOwner;
 use crate::ownership::LeaseStage;
+use crate::session::WorkerSession;
+use crate::state::TaskStage;
 
-/// The shard that a task belongs to until it is handed off.
+/// The shard that a task belongs to until it is handed off, chosen by rendezvous hashing; none where `shards` is empty.
 pub fn home_shard<'a>(job: &JobId, index: u32, shards: &'a [ShardId]) -> Option<&'a ShardId> {
     shards.iter().max_by_key(|shard| {
         let score = rendezvous_score(job.as_str(), u64::from(index), shard.as_str());
@@ -44,21 +44,21 @@
         self.config = Some((revision, set, shards));
     }
 
-    /// Turns a newer configuration into records.
-    pub(crate) fn take_in_config(&mut self) {
+    /// Buffers the records that bring the shard's state to a newer configuration.
+    pub(crate) fn apply_config(&mut self) {
         let Some((revision, set, shards)) = self.config.clone() else {
             return;
         };
         let buffered = self.buffer.iter().any(is_revised);
-        if revision <= self.book.revision || buffered || self.pending.is_some() {
+        if revision <= self.state.revision || buffered || self.pending.is_some() {
             return;
         }
         for spec in &set.jobs {
-            self.take_in_job(spec, &shards);
+            self.record_job(spec, &shards);
         }
         let declared: BTreeSet<&JobId> = set.jobs.iter().map(|spec| &spec.name).collect();
         let undeclared: Vec<JobId> = self
-            .book
+            .state
             .jobs
             .keys()
             .filter(|job| !declared.contains(job))
@@ -68,12 +68,12 @@
             self.retire_job(&job);
         }
         self.buffer.push(JournalRecord::Revised { revision });
-        self.urgent_waits = true;
+        self.urgent_pending = true;
     }
 
-    fn take_in_job(&mut self, spec: &JobSpec, shards: &[ShardId]) {
-        let known = self.book.jobs.get(&spec.name);
-        if known.is_some_and(|book| *book.spec == *spec) {
+    fn record_job(&mut self, spec: &JobSpec, shards: &[ShardId]) {
+        let known = self.state.jobs.get(&spec.name);
+        if known.is_some_and(|job_state| *job_state.spec == *spec) {
             return;
         }
         let own = |index: &u32| home_shard(&spec.name, *index, shards) == Some(&self.shard);
@@ -81,21 +81,21 @@
         if tasks.is_empty() && known.is_none() {
             return;
         }
-        self.end_tasks_beyond(spec);
+        self.end_excess_tasks(spec);
         self.buffer.push(JournalRecord::JobAdded {
             job: spec.clone(),
             tasks,
         });
     }
 
-    /// Ends the tasks that a job which is declared anew no longer has.
-    fn end_tasks_beyond(&mut self, spec: &JobSpec) {
-        let Some(book) = self.book.jobs.get(&spec.name) else {
+    /// Ends the open tasks beyond the task count of a job's new declaration.
+    fn end_excess_tasks(&mut self, spec: &JobSpec) {
+        let Some(job_state) = self.state.jobs.get(&spec.name) else {
             return;
         };
-        let beyond = book.tasks.range(spec.tasks..);
-        let open: Vec<u32> = beyond
-            .filter(|(_, cell)| !cell.stage.is_over())
+        let excess = job_state.tasks.range(spec.tasks..);
+        let open: Vec<u32> = excess
+            .filter(|(_, task_state)| !task_state.stage.is_over())
             .map(|(index, _)| *index)
             .collect();
         for index in open {
@@ -109,9 +109,13 @@
         }
     }
 
-    /// Cancels what is left of a job that is no longer declared; forgets it where nothing is.
+    /// Cancels the open tasks of a job that is no longer declared, and drops the job.
     fn retire_job(&mut self, job: &JobId) {
-        let over = self.book.jobs.get(job).is_some_and(|book| book.is_over());
+        let over = self
+            .state
+            .jobs
+            .get(job)
+            .is_some_and(|job_state| job_state.is_over());
         if !over {
             self.buffer
                 .push(JournalRecord::Cancelled { job: job.clone() });
@@ -120,20 +124,23 @@
             .push(JournalRecord::JobDropped { job: job.clone() });
     }
 
-    pub(crate) fn on_inbox(&mut self, ask: u64, handoffs: Vec<TaskHandoff>) {
-        if ask != self.inbox_ask || ask < self.inbox_valid || !self.is_settled() {
+    pub(crate) fn on_inbox(&mut self, read_number: u64, handoffs: Vec<TaskHandoff>) {
+        if read_number != self.inbox_read_number
+            || read_number < self.first_valid_inbox_read
+            || !self.is_settled()
+        {
             return;
         }
         let known = self.config.as_ref().map_or(0, |(known, _, _)| *known);
         for handoff in handoffs {
             let task = handoff.task();
-            if handoff.revision > known.min(self.book.revision) {
+            if handoff.revision > known.min(self.state.revision) {
                 continue;
             }
             if !self.adopting.insert(task.clone()) {
                 continue;
             }
-            self.buffer.push(if self.declares(&task.job) {
+            self.buffer.push(if self.is_declared(&task.job) {
                 let handoff = Box::new(handoff);
                 JournalRecord::Adopted { handoff }
             } else {
@@ -142,17 +149,17 @@
         }
     }
 
-    /// Whether this host owns the shard and no write is under way.
+    /// Whether this host owns the shard and no commit is in progress.
     fn is_settled(&self) -> bool {
         *self.lease.stage() == LeaseStage::Holding && self.pending.is_none()
     }
 
-    fn declares(&self, job: &JobId) -> bool {
+    fn is_declared(&self, job: &JobId) -> bool {
         let set = self.config.as_ref().map(|(_, set, _)| set);
         set.is_some_and(|set| set.jobs.iter().any(|spec| &spec.name == job))
     }
 
-    pub(crate) fn on_listed(
+    pub(crate) fn on_workers_listed(
         &mut self,
         present: Vec<WorkerEntry>,
         leaving: BTreeSet<WorkerId>,
@@ -176,87 +183,87 @@
         }
         let leaving: Vec<WorkerId> = self.leaving.iter().cloned().collect();
         for worker in leaving {
-            self.empty_worker(&worker);
+            self.drain_worker(&worker);
         }
     }
 
     pub(crate) fn add_worker(&mut self, entry: &WorkerEntry) {
-        self.add_contact(&entry.worker);
-        let reported = self.contacts[&entry.worker].reported;
+        self.add_session(&entry.worker);
+        let reported = self.sessions[&entry.worker].reported_capacity;
         let mut entry = entry.clone();
         entry.capacity = reported.unwrap_or(entry.capacity);
         self.pool.upsert(&entry);
     }
 
-    pub(crate) fn add_contact(&mut self, worker: &WorkerId) {
+    pub(crate) fn add_session(&mut self, worker: &WorkerId) {
         let silent_until = self.claimed_at + self.silence_ms;
-        let contact = self
-            .contacts
+        let session = self
+            .sessions
             .entry(worker.clone())
-            .or_insert_with(|| WorkerContact::new(silent_until));
-        contact.gone = self.gone.contains(worker);
-        contact.leaving = self.leaving.contains(worker);
+            .or_insert_with(|| WorkerSession::new(silent_until));
+        session.gone = self.gone.contains(worker);
+        session.leaving = self.leaving.contains(worker);
     }
 
     fn mark_gone(&mut self, worker: &WorkerId) {
         self.listed.remove(worker);
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.gone = true;
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.gone = true;
             self.pool.set_open(worker, false);
         }
     }
 
-    /// Closes a worker that is to be emptied and evicts what can be checkpointed.
-    fn empty_worker(&mut self, worker: &WorkerId) {
+    /// Closes a worker that is to be drained, and evicts its confirmed attempts that can be checkpointed.
+    fn drain_worker(&mut self, worker: &WorkerId) {
         self.pool.set_open(worker, false);
-        let Some(contact) = self.contacts.get_mut(worker) else {
+        let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        contact.leaving = true;
-        let tenants: Vec<WorkerTenant> = self.pool.tenants(worker).to_vec();
+        session.leaving = true;
+        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
         for tenant in tenants.iter().filter(|tenant| tenant.checkpoint) {
-            if contact.confirmed.contains(&tenant.attempt)
-                && !contact.evicting.contains(&tenant.attempt)
+            if session.confirmed.contains(&tenant.attempt)
+                && !session.evicting.contains(&tenant.attempt)
             {
-                contact.push_checkpoint(&tenant.attempt);
+                session.push_checkpoint(&tenant.attempt);
             }
         }
     }
 
-    /// Puts a task in the queue.
+    /// Adds a task to the queue if it is waiting.
     pub(crate) fn enqueue(&mut self, now: Millis, task: &TaskId) {
         let waits = self
-            .book
-            .cell(task)
-            .is_some_and(|cell| cell.stage == TaskStage::Waiting);
-        let Some(spec) = self.book.spec(&task.job).cloned() else {
+            .state
+            .task_state(task)
+            .is_some_and(|task_state| task_state.stage == TaskStage::Waiting);
+        let Some(spec) = self.state.spec(&task.job).cloned() else {
             return;
         };
         if !waits {
             return;
         }
         let key = self.pending_key(&spec);
-        self.urgent_waits |= key.urgent;
+        self.urgent_pending |= key.urgent;
         self.queue.insert(&key, task);
         self.waiting_since.entry(task.clone()).or_insert(now);
     }
 
-    /// Takes a task out of the queue.
+    /// Removes a task from the queue.
     pub(crate) fn unqueue(&mut self, task: &TaskId) {
-        self.waiting.remove(task);
+        self.wait_reasons.remove(task);
         self.waiting_since.remove(task);
-        if let Some(spec) = self.book.spec(&task.job).cloned() {
+        if let Some(spec) = self.state.spec(&task.job).cloned() {
             let key = self.pending_key(&spec);
             self.queue.remove(&key, task);
         }
     }
 
-    /// Takes every task of a job out of the queue.
+    /// Removes every task of a job from the queue.
     pub(crate) fn unqueue_job(&mut self, job: &JobId) {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return;
         };
-        let tasks: Vec<u32> = book.tasks.keys().copied().collect();
+        let tasks: Vec<u32> = job_state.tasks.keys().copied().collect();
         for index in tasks {
             let task = TaskId {
                 job: job.clone(),
@@ -266,7 +273,7 @@
         }
     }
 
-    /// The attempts that a record is about to take off their workers.
+    /// The attempts, with their workers, that are placed before `record` is applied and that it may end.
     pub(crate) fn placed_before(&self, record: &JournalRecord) -> Vec<(WorkerId, AttemptId)> {
         match record {
             JournalRecord::Cancelled { job } => self.placed_of(job, None),
@@ -276,33 +283,33 @@
     }
 
     fn placed_of(&self, job: &JobId, only: Option<u32>) -> Vec<(WorkerId, AttemptId)> {
-        let Some(book) = self.book.jobs.get(job) else {
+        let Some(job_state) = self.state.jobs.get(job) else {
             return Vec::new();
         };
         let mut placed = Vec::new();
-        for (&index, cell) in &book.tasks {
+        for (&index, task_state) in &job_state.tasks {
             if only.is_some_and(|only| only != index) {
                 continue;
             }
-            if let TaskStage::Placed(worker) = &cell.stage {
+            if let TaskStage::Placed(worker) = &task_state.stage {
                 let task = TaskId {
                     job: job.clone(),
                     index,
                 };
-                let number = cell.attempts;
+                let number = task_state.attempts;
                 placed.push((worker.clone(), AttemptId { task, number }));
             }
         }
         placed
     }
 
-    /// Stops an attempt that its task no longer counts; its room stays held until the worker says that it ended.
-    pub(crate) fn stop_if_moved_on(&mut self, worker: &WorkerId, attempt: &AttemptId) {
-        if self.book.current_worker(attempt).is_some() {
+    /// Stops an attempt that is no longer placed; its capacity stays held until the worker reports its end.
+    pub(crate) fn stop_if_superseded(&mut self, worker: &WorkerId, attempt: &AttemptId) {
+        if self.state.current_worker(attempt).is_some() {
             return;
         }
-        if let Some(contact) = self.contacts.get_mut(worker) {
-            contact.push_stop(attempt);
+        if let Some(session) = self.sessions.get_mut(worker) {
+            session.push_stop(attempt);
         }
     }
 }
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -1,46 +1,48 @@
-//! Snapshots of a shard's durable state, and reading it back.
+//! Encodes snapshots of a shard's durable state and rebuilds the state from a snapshot and the journal.
 
 use std::fmt;
 
 use sandshelf_model::Sequence;
 
-use crate::book::TaskBook;
 use crate::journal::JournalRecord;
+use crate::state::ShardState;
 
-/// Says why a snapshot can't be used.
+/// The reason why a snapshot can't be decoded.
 #[derive(Debug)]
 pub struct SnapshotError(serde_json::Error);
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "the snapshot can't be read: {}", self.0)
+        write!(formatter, "the snapshot can't be decoded: {}", self.0)
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-/// Writes a snapshot's bytes.
-pub fn encode_snapshot(book: &TaskBook) -> Vec<u8> {
-    serde_json::to_vec(book).expect("a book of plain values always serializes")
+/// Encodes a shard's state as the bytes of a snapshot, in JSON.
+pub fn encode_snapshot(state: &ShardState) -> Vec<u8> {
+    serde_json::to_vec(state).expect("a shard's state always serializes")
 }
 
-/// Reads a snapshot and the journal groups after it back into a book.
+/// Rebuilds a shard's state from its snapshot and the journal groups written after it.
+///
+/// Without a snapshot the journal has to be complete.
 ///
 /// # Errors
-/// The snapshot's bytes are not a book.
+/// The snapshot's bytes are not a valid encoding of a [`ShardState`].
 pub fn decode_snapshot(
     snapshot: Option<&[u8]>,
     groups: &[(Sequence, Vec<JournalRecord>)],
-) -> Result<TaskBook, SnapshotError> {
-    let mut book = match snapshot {
+) -> Result<ShardState, SnapshotError> {
+    let mut state = match snapshot {
         Some(bytes) => serde_json::from_slice(bytes).map_err(SnapshotError)?,
-        None => TaskBook::default(),
+        None => ShardState::default(),
     };
-    book.reindex();
+    state.rebuild_index();
     for (_, records) in groups {
         for record in records {
-            book.apply(record);
+            state.apply(record);
         }
     }
-    Ok(book)
+    Ok(state)
 }
--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -22,9 +22,9 @@
     task_lease_ms: 1_000,
     renewal_grace_ms: 1_000,
     drift_ms: 20,
-    answer_ms: 300,
-    order_every_ms: 300,
-    commit_every_ms: 10,
+    answer_timeout_ms: 300,
+    order_interval_ms: 300,
+    commit_interval_ms: 10,
     records_per_snapshot: 12,
     stagger_ms: 100,
 };
@@ -93,7 +93,7 @@
                 gone: BTreeSet::new(),
             };
             state.feed(owner, listed);
-            let quota = ShardEvent::QuotaSliced {
+            let quota = ShardEvent::QuotaSliceUpdated {
                 team: TeamId::from("team"),
                 slice: ResourceSize::new(1 << 30, 1 << 30, 0),
             };
@@ -112,7 +112,7 @@
         let actions = self.owners[owner].handle(self.now, event);
         for action in actions {
             match action {
-                ShardAction::Note(ShardNote::Broken(problem)) => panic!("{problem}"),
+                ShardAction::Note(ShardNote::InvariantBroken(problem)) => panic!("{problem}"),
                 ShardAction::Note(_) | ShardAction::ReadInbox { .. } => {}
                 action => self.messages.push(Message {
                     from: owner,
@@ -248,8 +248,8 @@
         let idle = idle.map(|(name, _)| name.clone()).expect("one is idle");
         for _ in 0..20 {
             let fenced = self.owners[1]
-                .contact(&idle)
-                .is_some_and(|contact| contact.fenced);
+                .session(&idle)
+                .is_some_and(|session| session.fenced);
             if fenced {
                 return;
             }
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -4,7 +4,7 @@
 
 use sandshelf_lease::{LeaseStage, ShardEvent, ShardOwner, ShardRoom};
 use sandshelf_model::{Millis, ServiceId, ShardId, WorkerId};
-use sandshelf_place::{LatencyWindow, LoadBand, PairSample};
+use sandshelf_place::{LatencyWindow, LoadBand, SlowdownSample};
 use sandshelf_platform::{HostKind, HostState};
 use sandshelf_route::ServerState;
 
@@ -71,18 +71,18 @@
         let owner = self
             .owners
             .values()
-            .find(|owner| owner.contact(&window.worker).is_some());
+            .find(|owner| owner.session(&window.worker).is_some());
         let Some(owner) = owner else { return };
         let shard = owner.shard().clone();
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
-        for tenant in owner.pool().tenants(&window.worker) {
+        for tenant in owner.pool().reservations(&window.worker) {
             *families.entry(tenant.family.clone()).or_default() += 1;
         }
         let slots = self.config.set().map_or(1, |set| set.backends.slots);
         let band = LoadBand::of(window.utilisation(JUDGE_EVERY_MS, slots));
         let slowdown = self.meter.slowdown(window, band, families.is_empty());
         let Some(slowdown) = slowdown else { return };
-        let sample = PairSample {
+        let sample = SlowdownSample {
             service: window.service.clone(),
             families: families.into_iter().collect(),
             band,
@@ -106,7 +106,7 @@
         let rooms: Vec<ShardRoom> = self.rooms.values().cloned().collect();
         let shards: Vec<ShardId> = self.owners.keys().cloned().collect();
         for shard in shards {
-            self.feed(now, &shard, ShardEvent::RoomHeard(rooms.clone()));
+            self.feed(now, &shard, ShardEvent::RoomReceived(rooms.clone()));
         }
     }
 
@@ -123,7 +123,7 @@
             .filter(|owner| *owner.stage() == LeaseStage::Holding)
             .collect();
         let waiting = owned.iter().map(|owner| owner.waiting_count()).sum();
-        let placed = owned.iter().map(|owner| owner.book().placed_count()).sum();
+        let placed = owned.iter().map(|owner| owner.state().placed_count()).sum();
         meters::show_shards(owned.len(), waiting, placed);
         let head = self.config.head();
         self.operator.publish(HostStatus {
@@ -184,12 +184,12 @@
 fn shard_status(owner: &ShardOwner, now: Millis) -> ShardStatus {
     let workers = owner.pool().workers().map(|worker| WorkerStatus {
         worker: worker.to_string(),
-        fenced: owner.contact(worker).is_some_and(|contact| contact.fenced),
-        leaving: owner.contact(worker).is_some_and(|contact| contact.leaving),
+        fenced: owner.session(worker).is_some_and(|session| session.fenced),
+        leaving: owner.session(worker).is_some_and(|session| session.leaving),
         free: owner.pool().free(worker).unwrap_or_default(),
         attempts: owner
             .pool()
-            .tenants(worker)
+            .reservations(worker)
             .iter()
             .map(|tenant| tenant.attempt.to_string())
             .collect(),
@@ -199,8 +199,8 @@
         epoch: owner.epoch(),
         valid: owner.is_owner(now),
         waiting: owner.waiting_count(),
-        placed: owner.book().placed_count(),
-        stats: owner.book().stats,
+        placed: owner.state().placed_count(),
+        stats: owner.state().stats,
         counts: *owner.counts(),
         quotas: quota_statuses(owner),
         workers: workers.collect(),
@@ -221,7 +221,7 @@
 }
 
 fn job_statuses(owner: &ShardOwner) -> Vec<JobStatus> {
-    let jobs = owner.book().jobs.iter();
+    let jobs = owner.state().jobs.iter();
     jobs.map(|(job, book)| {
         let mut stages: BTreeMap<&str, usize> = BTreeMap::new();
         for cell in book.tasks.values() {
@@ -230,7 +230,7 @@
         JobStatus {
             job: job.to_string(),
             team: book.spec.team.to_string(),
-            watch: owner.book().is_watch(job),
+            watch: owner.state().is_watch(job),
             stages: stages
                 .into_iter()
                 .map(|(stage, tasks)| StageCount {
--- a/crates/sandshelfd/src/control/quota.rs
+++ b/crates/sandshelfd/src/control/quota.rs
@@ -77,7 +77,7 @@
         version: u64,
         row: &QuotaRow,
     ) {
-        let wanted = self.owners[&name.shard].quota_wish(&name.team);
+        let wanted = self.owners[&name.shard].quota_demand(&name.team);
         let unused = wanted == ResourceSize::default() && !row.slices.contains_key(&name.shard);
         if unused {
             return;
@@ -96,7 +96,7 @@
         if self.owners[&name.shard].epoch() != name.epoch {
             return;
         }
-        let event = ShardEvent::QuotaSliced {
+        let event = ShardEvent::QuotaSliceUpdated {
             team: name.team.clone(),
             slice,
         };
