--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two sets.
+//! Differences between two configuration sets.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeKind {
-    /// Only the new set has it.
+    /// Only the new set has the declaration.
     Added,
-    /// Only the old set has it.
+    /// Only the old set has the declaration.
     Removed,
-    /// Both have it, with other values.
+    /// Both sets have the declaration, with different values.
     Changed,
 }
 
 /// One declaration that differs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct SetChange {
-    /// The kind and name of the declaration, such as `job reconcile`.
+    /// The kind and name of the declaration, such as `job reconcile`; `weights` and `backends` have no name.
     pub subject: String,
-    /// How it differs.
+    /// How the declaration differs.
     pub change: ChangeKind,
 }
 
-/// Lists what differs from `old` to `new`, by subject.
+/// Lists the declarations that differ between `old` and `new`, sorted by subject; empty for equal sets.
 pub fn difference(old: &ConfigSet, new: &ConfigSet) -> Vec<SetChange> {
     let before = describe(old);
     let after = describe(new);
@@ -55,6 +55,7 @@
     }
 }
 
+/// Maps each subject of a set to the debug text of its value, which is compared.
 fn describe(set: &ConfigSet) -> BTreeMap<String, String> {
     let mut subjects = BTreeMap::new();
     for service in &set.services {
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,21 +1,21 @@
-//! Faults found in declarative files and settings.
+//! Faults in declarative files and settings, as they are reported to the operator.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One fault: where it is, what it is, and what to do about it.
+/// One fault: its position, the problem, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigFault {
-    /// The file as the operator named it.
+    /// The path of the file, as the operator gave it or joined to the directory that the operator gave.
     pub file: String,
-    /// Line, from 1; 0 where the fault is of the whole file.
+    /// Line, counted from 1; 0 if the fault concerns the whole file or directory.
     pub line: usize,
-    /// Column in characters, from 1; 0 where the fault is of the whole file.
+    /// Column in characters, counted from 1; 0 if the fault concerns the whole file or directory.
     pub column: usize,
-    /// What is wrong, naming the offending input.
+    /// What is wrong; quotes the invalid input.
     pub problem: String,
-    /// The way out.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// Every fault of a set, in the order of the files.
+/// All faults of a set or of a settings file. Faults of single declarations come first, in the order of the files; faults across
+/// declarations follow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FaultList {
     /// The faults.
--- a/crates/config/src/intent.rs
+++ b/crates/config/src/intent.rs
@@ -1,4 +1,4 @@
-//! The declared intent, as typed values.
+//! Types of the declared configuration: services, jobs, teams, weights and limits.
 
 use sandshelf_model::{content_digest, JobId, Millis, ResourceSize, ServiceId, TeamId};
 use serde::{Deserialize, Serialize};
@@ -6,84 +6,84 @@
 /// A service: a class of requests that backend servers answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// The service's name; the first segment of its callers' paths.
+    /// The service's name, which is the first path segment of its requests.
     pub name: ServiceId,
-    /// Whether a request may be run again when its fate is unknown.
+    /// Whether a request may be run again when it is unknown whether it ran.
     pub repeatable: bool,
-    /// How long a request may take, unless its caller asks for less.
+    /// The time limit of a request, in milliseconds; a caller can ask for less.
     pub deadline_ms: Millis,
-    /// The 99th percentile that the operator wants to stay under.
+    /// The target for the 99th percentile of the latency, in milliseconds.
     pub tail_target_ms: Millis,
-    /// How many backend servers run the service.
+    /// The number of backend servers that run the service.
     pub replicas: u32,
-    /// What one replica holds on its worker.
+    /// The resources that one replica uses on its worker.
     pub size: ResourceSize,
 }
 
-/// Whether a job ends.
+/// Whether a job's tasks end or run permanently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobKind {
-    /// Each task finishes once.
+    /// A batch job: each task finishes once.
     Batch,
-    /// A standing watch: its tasks are started again whenever they end.
+    /// A watch: a permanent job whose tasks are restarted whenever they end.
     Watch,
 }
 
-/// How soon a job has to start.
+/// The priority with which a job's tasks are started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UrgencyLevel {
-    /// Starts before anything else that waits.
+    /// Starts before all waiting tasks of normal urgency.
     Urgent,
-    /// Starts in its turn.
+    /// Starts in the usual order.
     Normal,
 }
 
-/// A batch job or a standing watch.
+/// A batch job or a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's name; a name that was used up is not run again.
+    /// The job's name. A job that has ended is not run again under the same name.
     pub name: JobId,
-    /// Whether it is a batch job or a standing watch.
+    /// Whether it is a batch job or a watch.
     pub kind: JobKind,
-    /// The team whose quota it uses.
+    /// The team whose quota the job uses.
     pub team: TeamId,
-    /// Jobs of one family behave alike; defaults to the name.
+    /// Jobs of one family are expected to behave alike; defaults to the job's name.
     pub family: String,
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// What each task declares that it needs.
+    /// The resources that each task declares.
     pub size: ResourceSize,
-    /// How soon it has to start.
+    /// The priority with which its tasks are started.
     pub urgency: UrgencyLevel,
-    /// Whether a task may be run again when its fate is unknown.
+    /// Whether a task may be run again when it is unknown whether it ran; always true for a watch.
     pub repeatable: bool,
     /// Whether a task can be checkpointed and resumed.
     pub checkpoint: bool,
-    /// The declared run time of a task.
+    /// The declared run time of a task, in milliseconds; 30 days for a watch.
     pub run_ms: Millis,
-    /// What the worker runs; opaque to sandshelf.
+    /// The program that the worker runs; not interpreted by sandshelf.
     pub program: String,
 }
 
-/// The most that a team's running tasks may hold together.
+/// The limit on the resources that all running tasks of a team use together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamQuota {
     /// The team's name.
     pub name: TeamId,
-    /// The most that it may hold.
+    /// The largest total size of the team's running tasks.
     pub quota: ResourceSize,
 }
 
-/// How the operator weighs what is measured; larger matters more.
+/// The operator's weights for competing goals. A goal with a larger weight matters more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyWeights {
-    /// Tail latency of the services.
+    /// Weight of the services' tail latency.
     pub tail: u32,
-    /// Batch work done.
+    /// Weight of the amount of completed batch work.
     pub throughput: u32,
-    /// Evictions, as wasted work.
+    /// Weight of the work that evictions waste.
     pub evictions: u32,
 }
 
@@ -97,12 +97,12 @@
     }
 }
 
-/// What one backend server takes at a time, over all entry hosts.
+/// Limits of one backend server, over all entry hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLimits {
-    /// Requests that it runs at a time.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Connections that it keeps open.
+    /// The number of connections that it keeps open.
     pub connections: u32,
 }
 
@@ -115,14 +115,14 @@
     }
 }
 
-/// A whole set of declarations; it takes effect whole or not at all.
+/// A complete set of declarations. It takes effect as a whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSet {
-    /// Services by name.
+    /// Services. [`ConfigSet::to_bytes`] sorts them by name.
     pub services: Vec<ServiceSpec>,
-    /// Batch jobs and standing watches by name.
+    /// Batch jobs and watches. [`ConfigSet::to_bytes`] sorts them by name.
     pub jobs: Vec<JobSpec>,
-    /// Teams by name.
+    /// Teams. [`ConfigSet::to_bytes`] sorts them by name.
     pub teams: Vec<TeamQuota>,
     /// The operator's weights.
     pub weights: PolicyWeights,
@@ -131,7 +131,7 @@
 }
 
 impl ConfigSet {
-    /// Returns the canonical bytes: the same declarations give the same bytes.
+    /// Returns the canonical bytes: the same declarations give the same bytes, whatever their order in the files.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut sorted = self.clone();
         sorted.services.sort_by(|a, b| a.name.cmp(&b.name));
@@ -140,20 +140,20 @@
         serde_json::to_vec(&sorted).expect("a set of plain values always serializes")
     }
 
-    /// Reads a set back from its canonical bytes.
+    /// Decodes a set from its canonical bytes.
     ///
     /// # Errors
-    /// The bytes are not a set that [`ConfigSet::to_bytes`] wrote.
+    /// The bytes are not the JSON of a set, as [`ConfigSet::to_bytes`] writes it.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
 
-    /// Returns the digest of the canonical bytes.
+    /// Returns the digest of the canonical bytes, which identifies the set.
     pub fn digest(&self) -> String {
         content_digest(&self.to_bytes())
     }
 
-    /// Finds a service by name.
+    /// Finds a service by name; none if the set has no such service.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services
             .iter()
--- a/crates/config/src/job_settings.rs
+++ b/crates/config/src/job_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon that serves jobs on the users' platform.
+//! Settings of a daemon that runs jobs on the users' platform.
 
 use std::net::SocketAddr;
 
@@ -8,60 +8,61 @@
 use crate::parse::parse_object;
 use crate::reader::{ObjectReader, SourceFile};
 
-/// Milliseconds of a second.
+/// Milliseconds in one second.
 const SECOND_MS: u64 = 1_000;
 
-/// What a host is taken to have of a core where the settings don't say: the users' hosts of today.
+/// The default share of a processor core, in thousandths of a core: what the users' current hosts have.
 const DEFAULT_PROCESSOR_MILLIS: u64 = 250;
-/// What its link is taken to carry then.
+/// The default link capacity, in thousandths of a megabit per second (kbit/s): what the users' current hosts have.
 const DEFAULT_LINK_KBIT_PER_S: u64 = 1_000_000;
 
-/// How workers are told what to do.
+/// How orders are sent to workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderWay {
-    /// By calls to each worker.
+    /// By calls to each worker (`call` in the settings).
     Call,
-    /// In some other way, which this version does not speak.
+    /// In another way, which this version does not support: the daemon starts no task. Holds the text of the setting.
     Other(String),
 }
 
 /// Checked settings of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobSettings {
-    /// This entry host's name; the daemon adds its incarnation.
+    /// The name of this entry host; the daemon appends its incarnation.
     pub host: String,
-    /// The hall that it stands in.
+    /// The hall in which the host is located.
     pub hall: HallId,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether the host takes connections.
+    /// The address at which the load balancer asks whether the host accepts connections.
     pub ready_address: SocketAddr,
-    /// Where the metrics are served; none for nowhere.
+    /// The address at which metrics are served; none if they are not served.
     pub metrics_address: Option<SocketAddr>,
-    /// Where other hosts connect that carry orders while this one owns the shard; none where it calls all workers itself.
+    /// The address to which other hosts connect that relay orders while this host owns the shard; none if this host calls all workers
+    /// itself.
     pub relay_address: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_address: SocketAddr,
-    /// What the host has of a processor core, in thousandths.
+    /// The host's share of a processor, in thousandths of a core.
     pub processor_millis: u64,
-    /// What its link carries, in thousandths of a megabit a second.
+    /// The capacity of the host's link, in thousandths of a megabit per second (kbit/s).
     pub link_kbit_per_s: u64,
-    /// How workers are told what to do.
+    /// How orders are sent to workers.
     pub worker_orders: OrderWay,
-    /// The longest lease that a worker grants.
+    /// The longest lease that a worker grants, in milliseconds.
     pub max_lease_ms: Millis,
-    /// How long a planned stop of the daemon may take.
+    /// How long a planned stop of the daemon may take, in milliseconds.
     pub grace_ms: Millis,
-    /// How long the state of a finished job is kept.
+    /// How long the state of a finished job is kept, in milliseconds.
     pub keep_finished_ms: Millis,
-    /// The most lines of one event that are logged in each second.
+    /// The maximum number of log lines per second for each event.
     pub log_lines_per_s: u32,
 }
 
 /// Parses and checks a settings file.
 ///
 /// # Errors
-/// Every fault of the file, with line, column and remedy.
+/// All faults of the file, each with line, column and remedy.
 pub fn parse_job_settings(file: &SourceFile) -> Result<JobSettings, FaultList> {
     parse_object(file, read_settings)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Declarative files and daemon settings: parsing, checks, digests and differences.
 //!
-//! Files are JSON with comments. Every fault of every file is reported in one go,
-//! each with file, line, column and the way out; a set with a fault is refused whole.
+//! Files are JSON with comments. All faults of all files are reported together, each with
+//! file, line, column and remedy. A set with any fault is rejected as a whole.
 //!
 //! ```
 //! use sandshelf_config::{parse_set, SourceFile};
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Turns files into a checked set, or into every fault that they have.
+//! Parses files into a checked set or into the list of all their faults.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,44 @@
 use jsonc_parser::{parse_to_ast, CollectOptions, ParseOptions};
 use sandshelf_model::{JobId, ResourceSize, ServiceId, TeamId};
 
-use crate::check::{check_references, PlacedName};
+use crate::check::{check_references, NameDeclaration};
 use crate::fault::{ConfigFault, FaultList};
 use crate::intent::{
     BackendLimits, ConfigSet, JobKind, JobSpec, PolicyWeights, ServiceSpec, TeamQuota, UrgencyLevel,
 };
 use crate::reader::{ObjectReader, SourceFile};
 
-/// The largest machine that a task may ask for.
-const LARGEST_TASK: ResourceSize = ResourceSize::new(1_024_000, 16_777_216, 64);
-/// The largest quota that a team may have.
-const LARGEST_QUOTA: ResourceSize = ResourceSize::new(1 << 40, 1 << 40, 1 << 20);
-/// The longest deadline or tail target: one hour.
-const LONGEST_REQUEST_MS: u64 = 3_600_000;
-/// The longest declared run time: thirty days.
-const LONGEST_RUN_MS: u64 = 30 * 24 * 3_600_000;
-/// The most tasks that one job may have.
-const MOST_TASKS: u64 = 100_000;
-/// The most replicas of one service.
-const MOST_REPLICAS: u64 = 100_000;
-/// The largest weight.
-const LARGEST_WEIGHT: u64 = 100;
-/// The most slots or connections of one backend server.
-const MOST_SLOTS: u64 = 10_000;
+/// The largest size that a task or a replica may declare.
+const MAX_TASK_SIZE: ResourceSize = ResourceSize::new(1_024_000, 16_777_216, 64);
+/// The largest quota of a team.
+const MAX_QUOTA: ResourceSize = ResourceSize::new(1 << 40, 1 << 40, 1 << 20);
+/// The longest deadline or tail target of a service, in milliseconds: one hour.
+const MAX_REQUEST_MS: u64 = 3_600_000;
+/// The longest declared run time of a task, in milliseconds: 30 days. Also the run time that a watch gets.
+const MAX_RUN_MS: u64 = 30 * 24 * 3_600_000;
+/// The maximum number of tasks of one job.
+const MAX_TASKS_PER_JOB: u64 = 100_000;
+/// The maximum number of replicas of one service.
+const MAX_REPLICAS: u64 = 100_000;
+/// The largest policy weight.
+const MAX_WEIGHT: u64 = 100;
+/// The maximum number of slots, and of connections, of one backend server.
+const MAX_BACKEND_LIMIT: u64 = 10_000;
 
-/// What is gathered while the files of a set are read.
+/// Declarations and faults collected while the files of a set are parsed.
 #[derive(Default)]
 pub(crate) struct SetDraft {
     pub(crate) set: ConfigSet,
-    pub(crate) names: Vec<PlacedName>,
+    pub(crate) declarations: Vec<NameDeclaration>,
     pub(crate) faults: Vec<ConfigFault>,
-    pub(crate) singles: BTreeMap<&'static str, String>,
+    /// For each field that only one file of a set may contain: the file that contains it.
+    pub(crate) single_fields: BTreeMap<&'static str, String>,
 }
 
 /// Parses and checks the files of one set.
 ///
 /// # Errors
-/// Every fault of every file; nothing of a faulty set is returned.
+/// All faults of all files; a set with any fault is rejected as a whole.
 pub fn parse_set(files: &[SourceFile]) -> Result<ConfigSet, FaultList> {
     let mut draft = SetDraft::default();
     for file in files {
@@ -57,7 +58,8 @@
     })
 }
 
-/// Parses JSON with comments, without the looser forms that the library also takes.
+/// Parses JSON with comments and trailing commas, without the other extensions that the library supports. Returns none, and adds a fault,
+/// for an empty file or a syntax error.
 pub(crate) fn parse_text<'a>(
     file: &'a SourceFile,
     faults: &mut Vec<ConfigFault>,
@@ -78,7 +80,7 @@
         }
         Err(error) => {
             let problem = error.kind().to_string();
-            faults.push(file.fault_at(error.range().start, problem, "mend the JSON here"));
+            faults.push(file.fault_at(error.range().start, problem, "correct the JSON here"));
             None
         }
     }
@@ -87,46 +89,46 @@
 fn parse_file(file: &SourceFile, draft: &mut SetDraft) {
     let mut faults = Vec::new();
     if let Some(value) = parse_text(file, &mut faults) {
-        if let Some(mut top) = ObjectReader::open(file, &value, "the file", &mut faults) {
-            parse_lists(&mut top, draft);
-            parse_singles(&mut top, draft);
-            top.finish();
+        if let Some(mut root) = ObjectReader::open(file, &value, "the file", &mut faults) {
+            parse_lists(&mut root, draft);
+            parse_single_fields(&mut root, draft);
+            root.finish();
         }
     }
     draft.faults.append(&mut faults);
 }
 
-fn parse_lists(top: &mut ObjectReader<'_>, draft: &mut SetDraft) {
-    for value in top.elements("services") {
-        parse_service(top, value, draft);
+fn parse_lists(root: &mut ObjectReader<'_>, draft: &mut SetDraft) {
+    for value in root.elements("services") {
+        parse_service(root, value, draft);
     }
-    for value in top.elements("jobs") {
-        parse_job(top, value, JobKind::Batch, draft);
+    for value in root.elements("jobs") {
+        parse_job(root, value, JobKind::Batch, draft);
     }
-    for value in top.elements("watches") {
-        parse_job(top, value, JobKind::Watch, draft);
+    for value in root.elements("watches") {
+        parse_job(root, value, JobKind::Watch, draft);
     }
-    for value in top.elements("teams") {
-        parse_team(top, value, draft);
+    for value in root.elements("teams") {
+        parse_team(root, value, draft);
     }
 }
 
-fn parse_service(top: &mut ObjectReader<'_>, value: &Value<'_>, draft: &mut SetDraft) {
-    let (file, faults) = top.lend();
+fn parse_service(root: &mut ObjectReader<'_>, value: &Value<'_>, draft: &mut SetDraft) {
+    let (file, faults) = root.file_and_faults();
     let Some(mut reader) = ObjectReader::open(file, value, "a service", faults) else {
         return;
     };
     let offset = reader.offset();
     let name = reader.name("name");
     let repeatable = reader.flag("repeatable");
-    let deadline_ms = reader.number("deadline_ms", 1, LONGEST_REQUEST_MS);
-    let tail_target_ms = reader.number("tail_target_ms", 1, LONGEST_REQUEST_MS);
-    let replicas = reader.number("replicas", 1, MOST_REPLICAS);
-    let size = reader.size(&LARGEST_TASK);
+    let deadline_ms = reader.number("deadline_ms", 1, MAX_REQUEST_MS);
+    let tail_target_ms = reader.number("tail_target_ms", 1, MAX_REQUEST_MS);
+    let replicas = reader.number("replicas", 1, MAX_REPLICAS);
+    let size = reader.size(&MAX_TASK_SIZE);
     reader.finish();
     if let Some(name) = &name {
-        let placed = PlacedName::new("service", name, &file.name, offset);
-        draft.names.push(placed);
+        let declaration = NameDeclaration::new("service", name, &file.name, offset);
+        draft.declarations.push(declaration);
     }
     let spec = (|| {
         Some(ServiceSpec {
@@ -141,8 +143,8 @@
     draft.set.services.extend(spec);
 }
 
-fn parse_job(top: &mut ObjectReader<'_>, value: &Value<'_>, kind: JobKind, draft: &mut SetDraft) {
-    let (file, faults) = top.lend();
+fn parse_job(root: &mut ObjectReader<'_>, value: &Value<'_>, kind: JobKind, draft: &mut SetDraft) {
+    let (file, faults) = root.file_and_faults();
     let Some(mut reader) = ObjectReader::open(file, value, "a job", faults) else {
         return;
     };
@@ -150,8 +152,8 @@
     let name = reader.name("name");
     let team = reader.name("team");
     let family = reader.text_or("family", name.as_deref().unwrap_or(""));
-    let tasks = reader.number_or("tasks", 1, MOST_TASKS, 1);
-    let size = reader.size(&LARGEST_TASK);
+    let tasks = reader.number_or("tasks", 1, MAX_TASKS_PER_JOB, 1);
+    let size = reader.size(&MAX_TASK_SIZE);
     let urgency = parse_urgency(&mut reader);
     let repeatable = match kind {
         JobKind::Batch => reader.flag("repeatable"),
@@ -159,16 +161,16 @@
     };
     let checkpoint = reader.flag_or("checkpoint", false);
     let run_ms = match kind {
-        JobKind::Batch => reader.number("run_ms", 1, LONGEST_RUN_MS),
-        JobKind::Watch => Some(LONGEST_RUN_MS),
+        JobKind::Batch => reader.number("run_ms", 1, MAX_RUN_MS),
+        JobKind::Watch => Some(MAX_RUN_MS),
     };
     let program = reader.text_or("program", "");
     reader.finish();
     if let (Some(name), Some(team)) = (&name, &team) {
-        let mut placed = PlacedName::new("job", name, &file.name, offset);
-        placed.team = Some(team.clone());
-        placed.size = size;
-        draft.names.push(placed);
+        let mut declaration = NameDeclaration::new("job", name, &file.name, offset);
+        declaration.team = Some(team.clone());
+        declaration.size = size;
+        draft.declarations.push(declaration);
     }
     let spec = (|| {
         Some(JobSpec {
@@ -193,26 +195,26 @@
         "urgent" => Some(UrgencyLevel::Urgent),
         "normal" => Some(UrgencyLevel::Normal),
         other => {
-            let problem = format!("'{other}' is no urgency");
-            reader.note(reader.offset(), problem, "write urgent or normal");
+            let problem = format!("'{other}' is not a valid urgency");
+            reader.add_fault(reader.offset(), problem, "write urgent or normal");
             None
         }
     }
 }
 
-fn parse_team(top: &mut ObjectReader<'_>, value: &Value<'_>, draft: &mut SetDraft) {
-    let (file, faults) = top.lend();
+fn parse_team(root: &mut ObjectReader<'_>, value: &Value<'_>, draft: &mut SetDraft) {
+    let (file, faults) = root.file_and_faults();
     let Some(mut reader) = ObjectReader::open(file, value, "a team", faults) else {
         return;
     };
     let offset = reader.offset();
     let name = reader.name("name");
-    let quota = reader.size(&LARGEST_QUOTA);
+    let quota = reader.size(&MAX_QUOTA);
     reader.finish();
     if let Some(name) = &name {
         draft
-            .names
-            .push(PlacedName::new("team", name, &file.name, offset));
+            .declarations
+            .push(NameDeclaration::new("team", name, &file.name, offset));
     }
     if let (Some(name), Some(quota)) = (name, quota) {
         draft.set.teams.push(TeamQuota {
@@ -222,18 +224,18 @@
     }
 }
 
-fn parse_singles(top: &mut ObjectReader<'_>, draft: &mut SetDraft) {
-    if let Some(value) = top.find("weights") {
-        claim_single(top, "weights", draft);
-        let (file, faults) = top.lend();
+fn parse_single_fields(root: &mut ObjectReader<'_>, draft: &mut SetDraft) {
+    if let Some(value) = root.find("weights") {
+        record_single_field(root, "weights", draft);
+        let (file, faults) = root.file_and_faults();
         if let Some(mut reader) = ObjectReader::open(file, value, "'weights'", faults) {
             draft.set.weights = parse_weights(&mut reader).unwrap_or_default();
             reader.finish();
         }
     }
-    if let Some(value) = top.find("backends") {
-        claim_single(top, "backends", draft);
-        let (file, faults) = top.lend();
+    if let Some(value) = root.find("backends") {
+        record_single_field(root, "backends", draft);
+        let (file, faults) = root.file_and_faults();
         if let Some(mut reader) = ObjectReader::open(file, value, "'backends'", faults) {
             draft.set.backends = parse_backends(&mut reader).unwrap_or_default();
             reader.finish();
@@ -241,19 +243,19 @@
     }
 }
 
-/// Notes a field that may stand in only one file of a set.
-fn claim_single(top: &mut ObjectReader<'_>, field: &'static str, draft: &mut SetDraft) {
-    let file = top.lend().0.name.clone();
-    if let Some(first) = draft.singles.insert(field, file) {
-        let problem = format!("'{field}' already stands in {first}");
-        top.note(top.offset(), problem, "keep one of them");
+/// Records that a file of the set contains `field`; adds a fault if another file contains it too.
+fn record_single_field(root: &mut ObjectReader<'_>, field: &'static str, draft: &mut SetDraft) {
+    let file = root.file_and_faults().0.name.clone();
+    if let Some(first) = draft.single_fields.insert(field, file) {
+        let problem = format!("'{field}' is already set in {first}");
+        root.add_fault(root.offset(), problem, "keep one of them");
     }
 }
 
 fn parse_weights(reader: &mut ObjectReader<'_>) -> Option<PolicyWeights> {
-    let tail = reader.number("tail", 0, LARGEST_WEIGHT);
-    let throughput = reader.number("throughput", 0, LARGEST_WEIGHT);
-    let evictions = reader.number("evictions", 0, LARGEST_WEIGHT);
+    let tail = reader.number("tail", 0, MAX_WEIGHT);
+    let throughput = reader.number("throughput", 0, MAX_WEIGHT);
+    let evictions = reader.number("evictions", 0, MAX_WEIGHT);
     Some(PolicyWeights {
         tail: tail? as u32,
         throughput: throughput? as u32,
@@ -262,15 +264,15 @@
 }
 
 fn parse_backends(reader: &mut ObjectReader<'_>) -> Option<BackendLimits> {
-    let slots = reader.number("slots", 1, MOST_SLOTS);
-    let connections = reader.number("connections", 1, MOST_SLOTS);
+    let slots = reader.number("slots", 1, MAX_BACKEND_LIMIT);
+    let connections = reader.number("connections", 1, MAX_BACKEND_LIMIT);
     Some(BackendLimits {
         slots: slots? as u32,
         connections: connections? as u32,
     })
 }
 
-/// Parses a file that holds one object and reads it, or collects every fault.
+/// Parses a file that contains one object and reads it with `read`; otherwise returns all faults.
 pub(crate) fn parse_object<T>(
     file: &SourceFile,
     read: impl FnOnce(&mut ObjectReader<'_>) -> Option<T>,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's own settings.
+//! Settings of the daemon.
 
 use std::net::SocketAddr;
 
@@ -8,55 +8,55 @@
 use crate::parse::parse_object;
 use crate::reader::{ObjectReader, SourceFile};
 
-/// A task's lease has to outlast its owner's death and the takeover by so many shard leases.
-const LEASES_PER_TASK_LEASE: u64 = 4;
+/// The shortest task lease, in shard leases: a task's lease has to outlast the death of its owner and the takeover by another host.
+const MIN_SHARD_LEASES_PER_TASK_LEASE: u64 = 4;
 
-/// Time limits of the daemon.
+/// Leases, intervals and timeouts of the daemon, all in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// How long a shard's ownership lasts without a durable renewal.
+    /// How long the ownership of a shard lasts without a durable renewal.
     pub shard_lease_ms: Millis,
-    /// How long a worker keeps a task without a renewal.
+    /// How long a worker keeps a task without a lease renewal.
     pub task_lease_ms: Millis,
-    /// How long an owner goes on renewing task leases while the store is out.
+    /// How long an owner continues to renew task leases during a store outage.
     pub renewal_grace_ms: Millis,
-    /// How often the control thread acts.
+    /// The interval between two runs of the control thread.
     pub tick_ms: Millis,
-    /// How long a caller may take to send its request.
+    /// The timeout for a caller to send its request.
     pub body_timeout_ms: Millis,
-    /// How long a planned stop goes on serving after it turned unready.
+    /// How long the daemon continues to serve in a planned stop after it reports that it is not ready.
     pub drain_ms: Millis,
 }
 
 /// Checked settings of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonSettings {
-    /// This entry host's name; the daemon adds its incarnation.
+    /// The name of this entry host; the daemon appends its incarnation.
     pub host: HostId,
-    /// The hall that it stands in.
+    /// The hall in which the host is located.
     pub hall: HallId,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub caller_address: SocketAddr,
-    /// Where operators and the balancer's health checks connect.
+    /// The address to which operators and the load balancer's health checks connect.
     pub operator_address: SocketAddr,
-    /// Where the other entry hosts connect.
+    /// The address to which the other entry hosts connect.
     pub peer_address: SocketAddr,
-    /// The platform's service.
+    /// The address of the platform's service.
     pub platform_address: SocketAddr,
-    /// The largest body of a request or answer, in bytes.
+    /// The maximum size of the body of a request or an answer, in bytes.
     pub max_body_bytes: u64,
-    /// The most requests that wait for a slot.
+    /// The maximum number of requests that wait for a slot of a backend server.
     pub queue_limit: usize,
-    /// How many threads carry traffic.
+    /// The number of threads that handle callers' requests.
     pub traffic_threads: usize,
-    /// Time limits.
+    /// Leases, intervals and timeouts.
     pub limits: TimeLimits,
 }
 
 /// Parses and checks a settings file.
 ///
 /// # Errors
-/// Every fault of the file, with line, column and remedy.
+/// All faults of the file, each with line, column and remedy.
 pub fn parse_settings(file: &SourceFile) -> Result<DaemonSettings, FaultList> {
     parse_object(file, read_settings)
 }
@@ -106,19 +106,19 @@
             "tick_ms {} is more than a quarter of shard_lease_ms {}",
             limits.tick_ms, limits.shard_lease_ms
         );
-        reader.note(
+        reader.add_fault(
             reader.offset(),
             problem,
             "lower tick_ms or raise shard_lease_ms",
         );
         return None;
     }
-    if limits.task_lease_ms < limits.shard_lease_ms * LEASES_PER_TASK_LEASE {
+    if limits.task_lease_ms < limits.shard_lease_ms * MIN_SHARD_LEASES_PER_TASK_LEASE {
         let problem = format!(
-            "task_lease_ms {} is less than {LEASES_PER_TASK_LEASE} times shard_lease_ms {}: tasks would end with their owner",
+            "task_lease_ms {} is less than {MIN_SHARD_LEASES_PER_TASK_LEASE} times shard_lease_ms {}: task leases would expire before another host takes over from a failed owner",
             limits.task_lease_ms, limits.shard_lease_ms
         );
-        reader.note(
+        reader.add_fault(
             reader.offset(),
             problem,
             "raise task_lease_ms or lower shard_lease_ms",
