--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -58,8 +58,8 @@
     })
 }
 
-/// Parses JSON with comments and trailing commas, without the other extensions that the library supports. Returns none, and adds a fault,
-/// for an empty file or a syntax error.
+/// Parses JSON with comments and trailing commas; property names have to be quoted. Returns none, and adds a fault, for an empty file or
+/// a syntax error.
 pub(crate) fn parse_text<'a>(
     file: &'a SourceFile,
     faults: &mut Vec<ConfigFault>,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -247,7 +247,7 @@
         address
     }
 
-    /// Reads the resource size of a task, replica or quota: three fields, each at max that of `max`. Accelerators default to 0.
+    /// Reads the resource size of a task, replica or quota: three fields, each at most that of `max`. Accelerators default to 0.
     pub(crate) fn size(&mut self, max: &ResourceSize) -> Option<ResourceSize> {
         let cpu_millis = self.number("cpu_millis", 1, max.cpu_millis);
         let memory_mib = self.number("memory_mib", 1, max.memory_mib);
--- a/crates/sandshelf/src/apply.rs
+++ b/crates/sandshelf/src/apply.rs
@@ -1,4 +1,4 @@
-//! Puts a set in force: one object, one conditional write of the head, and the truth about its outcome.
+//! Changes the set in force: stores the set as an object, updates the head row with one conditional write, and reports the outcome.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -15,42 +15,46 @@
 use crate::failure::{CommandFailure, FailureKind};
 use crate::files::{print_json, read_set};
 
-/// How long the outcome of a write is asked for before it is called unknown.
-const OUTCOME_PATIENCE: Duration = Duration::from_secs(15);
-/// How long to wait between two asks.
-const ASK_EVERY: Duration = Duration::from_millis(200);
-/// How often a cancellation is tried again where another operator was first.
-const CANCEL_TRIES: usize = 10;
+/// How long a write of the head is retried before its outcome is reported as unknown.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(15);
+/// The pause between two tries of a write or a cancellation, and between two polls of the entry hosts.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The maximum number of tries of a cancellation; one fails when another operator's change is accepted first.
+const MAX_CANCEL_TRIES: usize = 10;
 
-/// What goes with a change.
+/// Options of a change of the set in force.
 #[derive(Clone, Debug)]
-pub struct ApplyWish {
-    /// The revision that has to be in force before.
+pub struct ApplyOptions {
+    /// Change only if this revision is in force; none for no condition.
     pub expect: Option<Revision>,
-    /// How long to wait until every entry host has it in force.
+    /// How long to wait until every entry host has the change in force; none to return at once.
     pub wait: Option<Duration>,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of text.
     pub json: bool,
 }
 
-/// What is in force, with the version of its row.
+/// The head and the set in force. Before the first change: version 0 and an empty set.
 struct CurrentHead {
+    /// The version of the head row, for the condition of the next write.
     version: u64,
     head: HeadRow,
     set: ConfigSet,
 }
 
+/// The result of a change, printed as JSON.
 #[derive(Serialize)]
-struct ApplyAnswer {
+struct ApplyReport {
     revision: Revision,
     digest: String,
     changes: Vec<SetChange>,
+    /// Whether every entry host has the change in force; none if it was not waited for.
     in_force_everywhere: Option<bool>,
 }
 
-/// How a write of the head ended.
-enum WriteEnd {
+/// The known outcome of a write of the head.
+enum WriteOutcome {
     Accepted,
+    /// Another operator's write was accepted first; holds its head.
     LostTo(Box<HeadRow>),
 }
 
@@ -86,7 +90,7 @@
     })
 }
 
-/// Shows what differs between the set in force and the one in `directory`.
+/// Prints the differences between the set in force and the set in `directory`.
 pub async fn diff(
     platform: &PlatformClient,
     directory: &Path,
@@ -118,14 +122,16 @@
 }
 
 /// Puts the set in `directory` in force.
+///
+/// Fails with [`FailureKind::LostRace`] if the expected revision is not in force or another operator's change is accepted first.
 pub async fn apply(
     platform: &PlatformClient,
     directory: &Path,
-    wish: &ApplyWish,
+    options: &ApplyOptions,
 ) -> Result<(), CommandFailure> {
     let set = read_set(directory)?;
     let current = read_head(platform).await?;
-    if wish
+    if options
         .expect
         .is_some_and(|expect| expect != current.head.revision)
     {
@@ -133,24 +139,26 @@
     }
     let head = next_head(&current.head, &set);
     match write_head(platform, current.version, &head, &set).await? {
-        WriteEnd::Accepted => report(platform, &head, &current.set, &set, wish).await,
-        WriteEnd::LostTo(winner) => Err(lost_race(platform, &winner, &set).await),
+        WriteOutcome::Accepted => report(platform, &head, &current.set, &set, options).await,
+        WriteOutcome::LostTo(winner) => Err(lost_race(platform, &winner, &set).await),
     }
 }
 
-/// Takes jobs out of the set in force; tries again where another operator was first.
+/// Removes jobs from the set in force; retries if another operator's change is accepted first.
 pub async fn cancel(
     platform: &PlatformClient,
     jobs: &[String],
-    wish: &ApplyWish,
+    options: &ApplyOptions,
 ) -> Result<(), CommandFailure> {
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..MAX_CANCEL_TRIES {
         let current = read_head(platform).await?;
         let set = without_jobs(&current.set, jobs)?;
         let head = next_head(&current.head, &set);
         match write_head(platform, current.version, &head, &set).await? {
-            WriteEnd::Accepted => return report(platform, &head, &current.set, &set, wish).await,
-            WriteEnd::LostTo(_) => sleep(ASK_EVERY).await,
+            WriteOutcome::Accepted => {
+                return report(platform, &head, &current.set, &set, options).await
+            }
+            WriteOutcome::LostTo(_) => sleep(RETRY_PAUSE).await,
         }
     }
     let message = "other operators kept changing the set; nothing was cancelled, try again";
@@ -171,23 +179,25 @@
 }
 
 fn next_head(current: &HeadRow, set: &ConfigSet) -> HeadRow {
-    let number: u64 = rand::rng().random();
+    let nonce: u64 = rand::rng().random();
     let user = std::env::var("USER").unwrap_or_else(|_| "unnamed".to_owned());
     HeadRow {
         revision: current.revision + 1,
         digest: set.digest(),
-        token: format!("{user}:{number:016x}"),
+        token: format!("{user}:{nonce:016x}"),
         operator: user,
     }
 }
 
-/// Stores the set, then moves the head on; asks until the outcome is certain.
+/// Stores the set, then writes the head with the condition that its row still has `version`; retries until the outcome is certain.
+///
+/// The head's token tells whether a conflict comes from an earlier try of the same write, whose answer was lost.
 async fn write_head(
     platform: &PlatformClient,
     version: u64,
     head: &HeadRow,
     set: &ConfigSet,
-) -> Result<WriteEnd, CommandFailure> {
+) -> Result<WriteOutcome, CommandFailure> {
     platform.put_object(&head.digest, set.to_bytes()).await?;
     let key = TableKey::Head.text();
     let text = serde_json::to_string(head).unwrap_or_default();
@@ -195,31 +205,31 @@
         .check(RowCheck::new(&key, version))
         .put(&key, &text);
     let began = Instant::now();
-    let mut sent_before = false;
-    while began.elapsed() < OUTCOME_PATIENCE {
+    let mut maybe_sent = false;
+    while began.elapsed() < OUTCOME_TIMEOUT {
         match platform.transact(&txn).await {
-            Ok(TxnOutcome::Committed(_)) => return Ok(WriteEnd::Accepted),
+            Ok(TxnOutcome::Committed(_)) => return Ok(WriteOutcome::Accepted),
             Ok(TxnOutcome::Conflict(rows)) => {
                 let found = rows.iter().find(|row| row.key == key);
                 let found: Option<HeadRow> =
                     found.and_then(|row| serde_json::from_str(&row.value).ok());
                 let found = found.unwrap_or_default();
                 if found.token == head.token {
-                    return Ok(WriteEnd::Accepted);
+                    return Ok(WriteOutcome::Accepted);
                 }
-                if !sent_before || found.revision == head.revision {
-                    return Ok(WriteEnd::LostTo(Box::new(found)));
+                if !maybe_sent || found.revision == head.revision {
+                    return Ok(WriteOutcome::LostTo(Box::new(found)));
                 }
-                // A later revision stands: this one may have been accepted before it.
+                // A later revision is in force; this one may have been accepted before that one.
                 return Err(unknown_outcome(head, Some(&found)));
             }
             Err(StoreFault::NotSent) => {}
-            // The same conditional write may be sent again: at most one of the two takes effect.
-            Err(_) => sent_before = true,
+            // Sending the same conditional write again is safe: at most one of the tries takes effect.
+            Err(_) => maybe_sent = true,
         }
-        sleep(ASK_EVERY).await;
+        sleep(RETRY_PAUSE).await;
     }
-    if sent_before {
+    if maybe_sent {
         Err(unknown_outcome(head, None))
     } else {
         Err(StoreFault::NotSent.into())
@@ -229,7 +239,7 @@
 fn unknown_outcome(head: &HeadRow, later: Option<&HeadRow>) -> CommandFailure {
     let message = match later {
         Some(later) => format!(
-            "it is not known whether revision {} was yours; revision {} by {} is in force now; see sandshelf diff",
+            "it is not known whether your change was accepted as revision {}; revision {} by {} is in force now; see sandshelf diff",
             head.revision, later.revision, later.operator
         ),
         None => format!(
@@ -241,7 +251,7 @@
     CommandFailure::new(FailureKind::Unknown, message)
 }
 
-/// Says who was first and how their set differs from the one that lost.
+/// Returns the failure that names the operator whose set is in force, and how the rejected `set` differs from it.
 async fn lost_race(platform: &PlatformClient, winner: &HeadRow, set: &ConfigSet) -> CommandFailure {
     let mut message = format!(
         "revision {} by {} is in force; nothing was changed",
@@ -249,10 +259,10 @@
     );
     if let Ok(theirs) = read_object(platform, winner).await {
         for change in difference(&theirs, set) {
-            message.push_str(&format!("\n  yours would change: {}", change.subject));
+            message.push_str(&format!("\n  your set differs in: {}", change.subject));
         }
     }
-    message.push_str("\n  look at sandshelf diff DIR, then apply again");
+    message.push_str("\n  see sandshelf diff DIR, then apply again");
     CommandFailure::new(FailureKind::LostRace, message)
 }
 
@@ -261,15 +271,15 @@
     head: &HeadRow,
     before: &ConfigSet,
     set: &ConfigSet,
-    wish: &ApplyWish,
+    options: &ApplyOptions,
 ) -> Result<(), CommandFailure> {
     let changes = difference(before, set);
-    let everywhere = match wish.wait {
-        Some(patience) => Some(wait_everywhere(platform, head.revision, patience).await),
+    let everywhere = match options.wait {
+        Some(timeout) => Some(wait_for_entry_hosts(platform, head.revision, timeout).await),
         None => None,
     };
-    if wish.json {
-        print_json(&ApplyAnswer {
+    if options.json {
+        print_json(&ApplyReport {
             revision: head.revision,
             digest: head.digest.clone(),
             changes,
@@ -287,20 +297,22 @@
     Ok(())
 }
 
-async fn wait_everywhere(
+/// Polls the entry hosts until all of them have `revision` or a later one in force; returns false if `timeout` passes first. An entry host
+/// that does not answer counts as one that does not have it, and so does an empty list of entry hosts.
+async fn wait_for_entry_hosts(
     platform: &PlatformClient,
     revision: Revision,
-    patience: Duration,
+    timeout: Duration,
 ) -> bool {
     let began = Instant::now();
-    while began.elapsed() < patience {
-        if let Ok(statuses) = entry_statuses(platform).await {
-            let reached = |found: &crate::ask::FoundStatus| found.revision() >= Some(revision);
-            if !statuses.is_empty() && statuses.iter().all(reached) {
+    while began.elapsed() < timeout {
+        if let Ok(replies) = entry_statuses(platform).await {
+            let reached = |reply: &crate::ask::EntryReply| reply.revision() >= Some(revision);
+            if !replies.is_empty() && replies.iter().all(reached) {
                 return true;
             }
         }
-        sleep(ASK_EVERY).await;
+        sleep(RETRY_PAUSE).await;
     }
     false
 }
--- a/crates/sandshelf/src/ask.rs
+++ b/crates/sandshelf/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the entry hosts, which are found through the platform's table.
+//! Queries the entry hosts, which are listed in the platform's table, and marks hosts for draining.
 
 use std::time::Duration;
 
@@ -11,27 +11,29 @@
 use crate::failure::{CommandFailure, FailureKind};
 use crate::files::print_json;
 
-/// How long an entry host may send nothing; the status of one with many workers may take longer than that on a thin link.
-const PATIENCE: CallPatience = CallPatience::Silence(Duration::from_secs(2));
-/// The most bytes of an entry host's answer: it names the tasks of each worker that it owns, some 11; at 2 KB a worker 17,000 of
-/// them take 34 MB.
-const LARGEST_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// An entry host that sends nothing for this long counts as not answering. The limit is on silence, not on the whole answer: the
+/// status of a host with many workers may take longer than this on a slow link.
+const IDLE_TIMEOUT: CallPatience = CallPatience::Silence(Duration::from_secs(2));
+/// The maximum size of an entry host's answer. A status lists the tasks of each worker that the host owns, about 11 per worker; at 2 KB
+/// per worker, 17,000 workers take 34 MB.
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// One entry host and its status, where it answered.
-pub struct FoundStatus {
-    /// The entry host.
+/// An entry host and its reply to a status request.
+pub struct EntryReply {
+    /// The entry host's row in the platform's table.
     pub entry: EntryRow,
-    /// Its status as it told it.
+    /// Its status as JSON; none if it did not answer.
     pub status: Option<Value>,
 }
 
-impl FoundStatus {
-    /// The configuration in force there.
+impl EntryReply {
+    /// Returns the revision of the configuration in force on this host; none if it is unknown.
     pub fn revision(&self) -> Option<Revision> {
         self.status.as_ref()?.get("revision")?.as_u64()
     }
 }
 
+/// Reads the rows of all entry hosts; rows that can't be parsed are skipped.
 async fn entries(platform: &PlatformClient) -> Result<Vec<EntryRow>, CommandFailure> {
     let range = ReadRange::prefix(&TableKey::Entries.text());
     let rows = platform.read_range(&range).await?;
@@ -46,26 +48,28 @@
     client.map_err(|error| CommandFailure::new(FailureKind::Unreachable, error.to_string()))
 }
 
-/// Asks one entry host; none where it gives no answer that can be read.
-async fn ask_json(request: RequestBuilder) -> Option<Value> {
-    let open = send_call(request, Duration::ZERO, PATIENCE).await.ok()?;
-    let body = open.read(LARGEST_ANSWER_BYTES).await.ok()?;
+/// Sends a request to an entry host; none if it does not answer or the answer is not JSON.
+async fn fetch_json(request: RequestBuilder) -> Option<Value> {
+    let response = send_call(request, Duration::ZERO, IDLE_TIMEOUT)
+        .await
+        .ok()?;
+    let body = response.read(MAX_ANSWER_BYTES).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Asks every entry host for its status.
-pub async fn entry_statuses(platform: &PlatformClient) -> Result<Vec<FoundStatus>, CommandFailure> {
+/// Requests the status of every entry host.
+pub async fn entry_statuses(platform: &PlatformClient) -> Result<Vec<EntryReply>, CommandFailure> {
     let http = client()?;
-    let mut found = Vec::new();
+    let mut replies = Vec::new();
     for entry in entries(platform).await? {
         let url = format!("http://{}/status", entry.operator);
-        let status = ask_json(http.get(url)).await;
-        found.push(FoundStatus { entry, status });
+        let status = fetch_json(http.get(url)).await;
+        replies.push(EntryReply { entry, status });
     }
-    Ok(found)
+    Ok(replies)
 }
 
-/// Prints the recorded reasons for a task, a job or a class of requests.
+/// Prints what the entry hosts have recorded about a task, a job or a class of requests, each line with the host's name.
 pub async fn explain(
     platform: &PlatformClient,
     subject: &str,
@@ -75,10 +79,10 @@
     let mut lines: Vec<String> = Vec::new();
     for entry in entries(platform).await? {
         let url = format!("http://{}/explain", entry.operator);
-        let asked = ask_json(http.get(url).query(&[("subject", subject)])).await;
-        let answer = asked.unwrap_or_default();
-        let told = answer.get("lines").and_then(Value::as_array);
-        for line in told.into_iter().flatten().filter_map(Value::as_str) {
+        let response = fetch_json(http.get(url).query(&[("subject", subject)])).await;
+        let answer = response.unwrap_or_default();
+        let reasons = answer.get("lines").and_then(Value::as_array);
+        for line in reasons.into_iter().flatten().filter_map(Value::as_str) {
             lines.push(format!("{}: {line}", entry.name));
         }
     }
@@ -94,7 +98,7 @@
     Ok(())
 }
 
-/// Records that workers or entry hosts are to be emptied.
+/// Marks workers or entry hosts for draining in the platform's table; marks none if one of the names is unknown.
 pub async fn drain(platform: &PlatformClient, names: &[String]) -> Result<(), CommandFailure> {
     let list = platform.host_list().await?;
     let entries = entries(platform).await?;
--- a/crates/sandshelf/src/cli.rs
+++ b/crates/sandshelf/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, turned into one checked options value.
+//! Parses the command line into checked options and runs the command.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,48 +8,48 @@
 use sandshelf_model::Revision;
 use sandshelf_platform::PlatformClient;
 
-use crate::apply::{self, ApplyWish};
+use crate::apply::{self, ApplyOptions};
 use crate::ask;
 use crate::failure::{CommandFailure, FailureKind};
 use crate::files;
 use crate::show;
 use crate::trace;
 
-/// Where the platform's address is taken from when no flag names it.
+/// The environment variable with the platform's address, used without `--platform`.
 const PLATFORM_VARIABLE: &str = "SANDSHELF_PLATFORM";
-/// How long one call to the platform is waited for.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// The timeout of one call to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 const HELP: &str = "\
-sandshelf: the operators' command of sandshelf
+sandshelf: the command-line tool for operators of sandshelf
 
 Usage: sandshelf [--platform IP:PORT] [--json] COMMAND
 
 Commands:
-  check PATH...      check files or directories; names every fault; needs no platform
-  diff DIR           show what differs between the set in force and DIR
-  apply DIR          put the set in DIR in force, whole or not at all
-  show               show what is in force, and hosts, shards, workers, jobs and requests
+  check PATH...      check files or directories and report every fault; needs no platform
+  diff DIR           show the differences between the set in force and the set in DIR
+  apply DIR          put the set in DIR in force, completely or not at all
+  show               show the revision in force, entry hosts, shards, workers, jobs and requests
   explain SUBJECT    show the recorded reasons for a task (JOB/INDEX), a job or a class of requests
-  cancel JOB...      take jobs out of the set in force; what of them runs is stopped
-  drain NAME...      empty workers or entry hosts
-  watch              show the state again and again
-  trace ID FILE...   tell the story of a job, task or worker from the hosts' logs; needs no platform
+  cancel JOB...      remove jobs from the set in force; their running tasks are stopped
+  drain NAME...      drain workers or entry hosts
+  watch              repeat show at an interval
+  trace ID FILE...   print the history of a job, task or worker from the hosts' logs; needs no platform
 
 Options:
-      --platform IP:PORT  the platform's service; else from SANDSHELF_PLATFORM
-      --expect REVISION   apply: only where this revision is in force
-      --wait SECONDS      apply, cancel: until every entry host has it in force
-      --every SECONDS     watch: how often (default 2)
-      --count TIMES       watch: how many times (default: until stopped)
+      --platform IP:PORT  the platform's service (default: from SANDSHELF_PLATFORM)
+      --expect REVISION   apply: only if this revision is in force
+      --wait SECONDS      apply, cancel: wait up to this long until every entry host has the change in force
+      --every SECONDS     watch: the interval (default 2)
+      --count TIMES       watch: the number of repetitions (default: until stopped)
       --json              print JSON
   -h, --help              show this text
   -V, --version           show the version
 
-Exit codes: 0 done, 1 something can't be reached, 2 wrong command line, 3 faults in files,
-4 another operator was first, 5 not known whether it was accepted, 6 no such thing.";
+Exit codes: 0 success, 1 something can't be reached or read, 2 invalid command line, 3 faults in files,
+4 another operator's change came first, 5 unknown whether the change was accepted, 6 not found.";
 
-/// What is to be done.
+/// The command with its arguments.
 #[derive(Clone, Debug)]
 enum Command {
     Check(Vec<PathBuf>),
@@ -63,19 +63,21 @@
     Trace(String, Vec<PathBuf>),
 }
 
-/// The whole command line, checked.
+/// The parsed and checked command line.
 #[derive(Clone, Debug)]
 struct CommandOptions {
     command: Command,
     platform: Option<SocketAddr>,
     expect: Option<Revision>,
     wait: Option<Duration>,
+    /// `watch`: the pause between two repetitions.
     every: Duration,
+    /// `watch`: the number of repetitions; none for no limit.
     count: Option<u64>,
     json: bool,
 }
 
-/// Reads the command line and does what it asks for.
+/// Parses the command line and runs its command.
 pub fn run() -> Result<(), CommandFailure> {
     let Some(options) = read_options()? else {
         return Ok(());
@@ -95,11 +97,12 @@
 
 async fn run_with_platform(options: CommandOptions) -> Result<(), CommandFailure> {
     let address = options.platform.ok_or_else(|| {
-        let message = format!("name the platform with --platform IP:PORT or {PLATFORM_VARIABLE}");
+        let message =
+            format!("give the platform's address with --platform IP:PORT or {PLATFORM_VARIABLE}");
         CommandFailure::new(FailureKind::Usage, message)
     })?;
-    let platform = PlatformClient::new(address, PATIENCE)?;
-    let wish = ApplyWish {
+    let platform = PlatformClient::new(address, CALL_TIMEOUT)?;
+    let apply_options = ApplyOptions {
         expect: options.expect,
         wait: options.wait,
         json: options.json,
@@ -107,8 +110,8 @@
     match &options.command {
         Command::Check(_) | Command::Trace(..) => Ok(()),
         Command::Diff(directory) => apply::diff(&platform, directory, options.json).await,
-        Command::Apply(directory) => apply::apply(&platform, directory, &wish).await,
-        Command::Cancel(jobs) => apply::cancel(&platform, jobs, &wish).await,
+        Command::Apply(directory) => apply::apply(&platform, directory, &apply_options).await,
+        Command::Cancel(jobs) => apply::cancel(&platform, jobs, &apply_options).await,
         Command::Show => show::show(&platform, options.json).await,
         Command::Watch => show::watch(&platform, options.every, options.count, options.json).await,
         Command::Explain(subject) => ask::explain(&platform, subject, options.json).await,
@@ -116,10 +119,10 @@
     }
 }
 
-/// Reads the options; none where help or the version was printed.
+/// Parses the command line; none if help or the version was printed instead.
 fn read_options() -> Result<Option<CommandOptions>, CommandFailure> {
     let mut parser = lexopt::Parser::from_env();
-    let mut words: Vec<String> = Vec::new();
+    let mut positional: Vec<String> = Vec::new();
     let mut options = CommandOptions {
         command: Command::Show,
         platform: platform_from_environment()?,
@@ -145,11 +148,11 @@
                 println!("sandshelf {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            Value(word) => words.push(word.string()?),
+            Value(value) => positional.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
-    options.command = read_command(&words)?;
+    options.command = read_command(&positional)?;
     Ok(Some(options))
 }
 
@@ -158,16 +161,16 @@
         return Ok(None);
     };
     let address = text.parse().map_err(|_| {
-        let message = format!("{PLATFORM_VARIABLE} holds '{text}', which is no IP:PORT");
+        let message = format!("{PLATFORM_VARIABLE} is '{text}', which is not IP:PORT");
         CommandFailure::new(FailureKind::Usage, message)
     })?;
     Ok(Some(address))
 }
 
-fn read_command(words: &[String]) -> Result<Command, CommandFailure> {
+fn read_command(positional: &[String]) -> Result<Command, CommandFailure> {
     let usage = |message: &str| CommandFailure::new(FailureKind::Usage, message);
-    let Some((name, rest)) = words.split_first() else {
-        return Err(usage("name a command; see sandshelf --help"));
+    let Some((name, rest)) = positional.split_first() else {
+        return Err(usage("no command given; see sandshelf --help"));
     };
     match (name.as_str(), rest) {
         ("check", paths) if !paths.is_empty() => {
@@ -189,7 +192,7 @@
             | "trace",
             _,
         ) => Err(usage(&format!(
-            "'{name}' has too few or too many words after it; see sandshelf --help"
+            "wrong number of arguments for '{name}'; see sandshelf --help"
         ))),
         _ => Err(usage(&format!(
             "there is no command '{name}'; see sandshelf --help"
--- a/crates/sandshelf/src/failure.rs
+++ b/crates/sandshelf/src/failure.rs
@@ -1,27 +1,27 @@
-//! What can go wrong, with an exit code for each kind.
+//! Failures of a command, with an exit code for each kind.
 
 use sandshelf_config::FaultList;
 use sandshelf_platform::StoreFault;
 
-/// Kinds of failure, told apart by the exit code.
+/// Kinds of failure; each has its own exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The platform or an entry host can't be reached.
+    /// The platform or an entry host can't be reached, or a stored row, a stored set or a log can't be read.
     Unreachable,
-    /// The command line is wrong.
+    /// The command line or the environment is invalid.
     Usage,
     /// The files have faults; nothing was changed.
     Faults,
-    /// Another operator was first; nothing was changed.
+    /// Another operator's change was accepted first, or another revision than the expected one is in force; nothing was changed.
     LostRace,
-    /// It is not known whether the change was accepted.
+    /// It is unknown whether the change was accepted.
     Unknown,
-    /// What was asked about is not there.
+    /// The named job, task, class, worker or entry host does not exist.
     Missing,
 }
 
 impl FailureKind {
-    /// The exit code.
+    /// Returns the process exit code.
     pub fn code(self) -> u8 {
         match self {
             FailureKind::Unreachable => 1,
@@ -34,17 +34,17 @@
     }
 }
 
-/// A failure as it is printed.
+/// A failure as it is reported to the operator.
 #[derive(Clone, Debug)]
 pub struct CommandFailure {
-    /// Its kind.
+    /// The kind, which determines the exit code.
     pub kind: FailureKind,
-    /// What is wrong and the way out.
+    /// What went wrong and how to correct it.
     pub message: String,
 }
 
 impl CommandFailure {
-    /// Makes a failure.
+    /// Creates a failure of `kind`.
     pub fn new(kind: FailureKind, message: impl Into<String>) -> Self {
         Self {
             kind,
--- a/crates/sandshelf/src/files.rs
+++ b/crates/sandshelf/src/files.rs
@@ -1,4 +1,4 @@
-//! Checks files without the platform.
+//! Reads and checks files, and prints JSON.
 
 use std::path::{Path, PathBuf};
 
@@ -7,8 +7,9 @@
 
 use crate::failure::{CommandFailure, FailureKind};
 
+/// The result of a check without faults, printed as JSON or as one line.
 #[derive(Serialize)]
-struct CheckAnswer {
+struct CheckReport {
     sound: bool,
     services: usize,
     jobs: usize,
@@ -16,13 +17,13 @@
     digest: String,
 }
 
-/// Checks the files of one set and names every fault.
+/// Checks the files of one set, without the platform; fails with all their faults.
 pub fn check(paths: &[PathBuf], json: bool) -> Result<(), CommandFailure> {
     let set = match read_paths(paths).and_then(|files| parse_set(&files)) {
         Ok(set) => set,
         Err(faults) => return Err(report_faults(faults, json)),
     };
-    let answer = CheckAnswer {
+    let report = CheckReport {
         sound: true,
         services: set.services.len(),
         jobs: set.jobs.len(),
@@ -30,11 +31,11 @@
         digest: set.digest(),
     };
     if json {
-        print_json(&answer);
+        print_json(&report);
     } else {
         println!(
             "sound: {} services, {} jobs and watches, {} teams",
-            answer.services, answer.jobs, answer.teams
+            report.services, report.jobs, report.teams
         );
     }
     Ok(())
@@ -49,16 +50,16 @@
     faults.into()
 }
 
-/// Reads and checks the set in a directory.
+/// Reads and checks the files of the set in a directory.
 pub fn read_set(directory: &Path) -> Result<ConfigSet, CommandFailure> {
     let files = read_directory(directory)?;
     Ok(parse_set(&files)?)
 }
 
-/// Prints a value for machines.
+/// Prints a value as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) {
     match serde_json::to_string_pretty(value) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("sandshelf: the answer can't be printed as JSON: {error}"),
+        Err(error) => eprintln!("sandshelf: the result can't be printed as JSON: {error}"),
     }
 }
--- a/crates/sandshelf/src/main.rs
+++ b/crates/sandshelf/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command of sandshelf.
+//! The command-line tool for operators of sandshelf.
 
 mod apply;
 mod ask;
--- a/crates/sandshelf/src/show.rs
+++ b/crates/sandshelf/src/show.rs
@@ -1,4 +1,4 @@
-//! Shows what is in force and what runs where.
+//! Prints the state that the entry hosts report: revisions, requests, shards, jobs, quotas and workers.
 
 use std::time::Duration;
 
@@ -6,27 +6,30 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::ask::{entry_statuses, FoundStatus};
+use crate::ask::{entry_statuses, EntryReply};
 use crate::failure::CommandFailure;
 use crate::files::print_json;
 
-/// Shows the state once.
+/// Prints the state once, as tables or as JSON. Entry hosts that do not answer are left out of the JSON.
 pub async fn show(platform: &PlatformClient, json: bool) -> Result<(), CommandFailure> {
-    let found = entry_statuses(platform).await?;
+    let replies = entry_statuses(platform).await?;
     if json {
-        let statuses: Vec<&Value> = found.iter().filter_map(|one| one.status.as_ref()).collect();
+        let statuses: Vec<&Value> = replies
+            .iter()
+            .filter_map(|reply| reply.status.as_ref())
+            .collect();
         print_json(&statuses);
         return Ok(());
     }
-    print_hosts(&found);
-    print_shards(&found);
-    print_jobs(&found);
-    print_quotas(&found);
-    print_workers(&found);
+    print_hosts(&replies);
+    print_shards(&replies);
+    print_jobs(&replies);
+    print_quotas(&replies);
+    print_workers(&replies);
     Ok(())
 }
 
-/// Shows the state again and again.
+/// Prints the state `count` times, at least once, or until the process is stopped; pauses for `every` in between.
 pub async fn watch(
     platform: &PlatformClient,
     every: Duration,
@@ -45,6 +48,7 @@
     }
 }
 
+/// Returns a field as text; `-` if it is absent or null.
 fn text(value: &Value, key: &str) -> String {
     match value.get(key) {
         Some(Value::String(text)) => text.clone(),
@@ -53,6 +57,7 @@
     }
 }
 
+/// Iterates over the elements of an array field; empty if it is absent or not an array.
 fn list<'a>(value: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
     value
         .get(key)
@@ -61,7 +66,7 @@
         .flatten()
 }
 
-fn print_hosts(found: &[FoundStatus]) {
+fn print_hosts(replies: &[EntryReply]) {
     println!(
         "{:<16} {:<14} {:>8} {:<8} {:>6} {:>8} {:>8} {:>8} {:>8}",
         "ENTRY HOST",
@@ -74,18 +79,18 @@
         "NOT RUN",
         "UNKNOWN"
     );
-    for one in found {
-        let Some(status) = &one.status else {
+    for reply in replies {
+        let Some(status) = &reply.status else {
             println!(
                 "{:<16} {:<14} does not answer",
-                one.entry.name, one.entry.hall
+                reply.entry.name, reply.entry.hall
             );
             continue;
         };
         let requests = status.get("requests").cloned().unwrap_or_default();
         println!(
             "{:<16} {:<14} {:>8} {:<8} {:>6} {:>8} {:>8} {:>8} {:>8}",
-            one.entry.name,
+            reply.entry.name,
             text(status, "hall"),
             text(status, "revision"),
             text(status, "ready"),
@@ -98,24 +103,24 @@
     }
 }
 
-fn shards(found: &[FoundStatus]) -> impl Iterator<Item = (&FoundStatus, &Value)> {
-    let with_status = found
+fn shards(replies: &[EntryReply]) -> impl Iterator<Item = (&EntryReply, &Value)> {
+    let with_status = replies
         .iter()
-        .filter_map(|one| Some((one, one.status.as_ref()?)));
-    with_status.flat_map(|(one, status)| list(status, "shards").map(move |shard| (one, shard)))
+        .filter_map(|reply| Some((reply, reply.status.as_ref()?)));
+    with_status.flat_map(|(reply, status)| list(status, "shards").map(move |shard| (reply, shard)))
 }
 
-fn print_shards(found: &[FoundStatus]) {
+fn print_shards(replies: &[EntryReply]) {
     println!(
         "\n{:<20} {:<16} {:>6} {:>8} {:>8} {:>9} {:>9}",
         "SHARD", "OWNER", "EPOCH", "WAITING", "RUNNING", "FINISHED", "EVICTIONS"
     );
-    for (one, shard) in shards(found) {
+    for (reply, shard) in shards(replies) {
         let stats = shard.get("stats").cloned().unwrap_or_default();
         println!(
             "{:<20} {:<16} {:>6} {:>8} {:>8} {:>9} {:>9}",
             text(shard, "shard"),
-            one.entry.name,
+            reply.entry.name,
             text(shard, "epoch"),
             text(shard, "waiting"),
             text(shard, "placed"),
@@ -125,12 +130,12 @@
     }
 }
 
-fn print_jobs(found: &[FoundStatus]) {
+fn print_jobs(replies: &[EntryReply]) {
     println!(
         "\n{:<24} {:<14} {:<6} {:<20} TASKS",
         "JOB", "TEAM", "KIND", "SHARD"
     );
-    for (_, shard) in shards(found) {
+    for (_, shard) in shards(replies) {
         for job in list(shard, "jobs") {
             let stages: Vec<String> = list(job, "stages")
                 .map(|stage| format!("{} {}", text(stage, "tasks"), text(stage, "stage")))
@@ -152,12 +157,12 @@
     }
 }
 
-fn print_quotas(found: &[FoundStatus]) {
+fn print_quotas(replies: &[EntryReply]) {
     println!(
         "\n{:<20} {:<20} {:>10} {:>10} {:>10} {:>10}",
         "TEAM", "SHARD", "SLICE CPU", "HELD CPU", "SLICE MIB", "HELD MIB"
     );
-    for (_, shard) in shards(found) {
+    for (_, shard) in shards(replies) {
         for quota in list(shard, "quotas") {
             let slice = quota.get("slice").cloned().unwrap_or_default();
             let held = quota.get("held").cloned().unwrap_or_default();
@@ -174,12 +179,12 @@
     }
 }
 
-fn print_workers(found: &[FoundStatus]) {
+fn print_workers(replies: &[EntryReply]) {
     println!(
         "\n{:<20} {:<20} {:<8} {:>10} {:>10}  RUNNING",
         "WORKER", "SHARD", "STATE", "FREE CPU", "FREE MIB"
     );
-    for (_, shard) in shards(found) {
+    for (_, shard) in shards(replies) {
         for worker in list(shard, "workers") {
             let free = worker.get("free").cloned().unwrap_or_default();
             let attempts: Vec<String> = list(worker, "attempts")
--- a/crates/sandshelf/tests/trace.rs
+++ b/crates/sandshelf/tests/trace.rs
@@ -1,4 +1,4 @@
-//! `sandshelf trace` drives the real binary: the logs of two hosts become one story, an owner's death in its middle.
+//! Runs the `sandshelf` binary: `trace` merges the logs of two hosts, of which the first dies as owner and the second takes over.
 
 use std::fs;
 use std::path::PathBuf;
@@ -6,14 +6,14 @@
 
 use sandshelf_cases::cases;
 
-/// The host that takes the job in and owns the shard until it dies.
+/// The log of the host that accepts the job and owns the shard until it dies.
 const FIRST_LOG: &str = "\
 time=2026-12-02T12:00:00.000Z level=info event=shard_owned epoch=1 took_ms=60 jobs=0 workers=0
 time=2026-12-02T12:00:01.000Z level=info event=job_accepted job=00000000000000a7 queue=lots version=12
 time=2026-12-02T12:00:01.020Z level=info event=task_placed task=00000000000000a7.0.0.0 run=1048577 worker=w-1
 time=2026-12-02T12:00:01.030Z level=info event=task_placed task=00000000000000a8.0.0.0 run=1048577 worker=w-2
 ";
-/// The host that takes over.
+/// The log of the host that takes over the shard.
 const SECOND_LOG: &str = "\
 time=2026-12-02T12:00:04.500Z level=info event=shard_owned epoch=2 took_ms=80 jobs=2 workers=2
 time=2026-12-02T12:00:04.900Z level=info event=task_ended task=00000000000000a7.0.0.0 run=1048577 worker=w-1 outcome=done
@@ -37,7 +37,7 @@
         Command::new(env!("CARGO_BIN_EXE_sandshelf"))
             .arg("trace")
             .arg(subject)
-            // The later log first: the order of time counts.
+            // The later log is given first: lines are ordered by time, not by argument.
             .args([self.0.join("entry-2.log"), self.0.join("entry-1.log")])
             .output()
             .expect("the command starts")
@@ -50,8 +50,8 @@
     }
 }
 
-fn logs_become_one_story() {
-    let output = LogFiles::write("story").trace("00000000000000a7");
+fn logs_are_merged_by_time() {
+    let output = LogFiles::write("merged").trace("00000000000000a7");
     assert_eq!(output.status.code(), Some(0));
     let printed = String::from_utf8_lossy(&output.stdout).into_owned();
     let expected = "\
@@ -74,13 +74,13 @@
     );
 }
 
-fn part_of_a_number_is_no_name() {
+fn prefix_of_an_id_does_not_match() {
     let output = LogFiles::write("part").trace("00000000000000a");
     assert_eq!(output.status.code(), Some(6));
 }
 
 cases! {
-    two_hosts_one_story => logs_become_one_story();
+    two_logs_one_trace => logs_are_merged_by_time();
     unknown_subject => unknown_subject_is_missing();
-    part_of_a_number => part_of_a_number_is_no_name();
+    prefix_of_an_id => prefix_of_an_id_does_not_match();
 }
