--- a/crates/sandshelf/src/show.rs
+++ b/crates/sandshelf/src/show.rs
@@ -190,6 +190,7 @@
             let attempts: Vec<String> = list(worker, "attempts")
                 .filter_map(|attempt| attempt.as_str().map(str::to_owned))
                 .collect();
+            // `leaving`: the worker is being drained. `open`: it has accepted this owner's epoch. `unseen`: not yet.
             let state = match (
                 text(worker, "leaving").as_str(),
                 text(worker, "fenced").as_str(),
