--- a/crates/jobs/tests/crashes.rs
+++ b/crates/jobs/tests/crashes.rs
@@ -1,11 +1,14 @@
 //! Tasks that crash the workers that start them.
 //!
-//! What users saw: a worker went down every three seconds for each of two tasks, all that ran beside them was lost with it, and so it went on for two
-//! minutes. The order of events: a task crashes its worker some milliseconds after it began; a worker that crashes lists no end of the run, and the
-//! one that comes back in its place knows nothing of it; the owner notes the loss when it sees the replacement, and starts the task at once on the next
-//! worker, as if it were new. The cause: only ends that a worker lists as failed counted as attempts, so that nothing bounded the starts of a task
-//! whose worker could no longer list one. Evidence: the owner's log shows the runs of each task numbered in a row, one every 3.3 s, each as
-//! `run_lost cause=replaced` on another worker and none as `task_ended`, under one owner, which started all of them.
+//! Guards against a crashing task that takes down one worker after another, and with each worker
+//! all other runs on it. Such a task crashes its worker some milliseconds after its start. The
+//! crashed worker reports no end of the run, and the worker that takes its place knows nothing of
+//! it. When the owner saw the replacement it counted the run as lost and started the task at once
+//! on the next worker, as if it were new. Only ends that a worker reports as failed counted as
+//! attempts, so nothing limited the starts of a task whose worker could not report one. In the
+//! owner's log the runs of such a task are numbered consecutively, one every 3.3 s, each as
+//! `run_lost cause=replaced` on another worker and none as `task_ended`, all under one owner. It
+//! went on for two minutes.
 
 mod support;
 
@@ -14,34 +17,35 @@
 use support::crashing::{CrashingFleet, REPLACED_AFTER_MS};
 use support::{job, step, task};
 
-/// How long after its start the tasks of the incident crashed their workers, in milliseconds.
+/// How long after their start the crashing tasks crash their workers.
 const CRASHES_AFTER_MS: Millis = 10;
-/// A task under which three workers have crashed may be started twice more, no oftener.
+/// How many more starts a task may get after it has crashed three workers.
 const STARTS_AFTER_THREE: usize = 2;
 
-/// Eight workers in whose place others come when they crash.
+/// Eight workers that are replaced when they crash.
 fn replaced() -> CrashingFleet {
     CrashingFleet::new(8)
 }
 
-/// Eight workers that start again under their names when they crash.
+/// Eight workers that restart under their names when they crash.
 fn restarting(after: Millis) -> CrashingFleet {
     CrashingFleet::restarting(8, after)
 }
 
-/// How many workers stand where several go down at once, and how many do beside the one that matters.
-const FLEET: usize = 32;
-const HERD: usize = 6;
+/// The size of a fleet with mass failures, and how many workers fail at once besides the one that
+/// matters.
+const FLEET_WORKERS: usize = 32;
+const MASS_FAILURE_WORKERS: usize = 6;
 
-/// A job of six tasks whose first crashes its workers, and its crashing task.
+/// Hands in a job of six tasks, the first of which crashes its workers; returns that task.
 fn hand_in_crasher(fleet: &mut CrashingFleet, number: u64, after: Millis) -> TaskKey {
     let crasher = task(number, 0, 0);
     fleet.hand_in(number, job(vec![step(6)]), &[(crasher, after)]);
     crasher
 }
 
-/// Ordinary jobs beside it, four a second.
-fn pass_with_traffic(fleet: &mut CrashingFleet, numbers: std::ops::Range<u64>) {
+/// Hands in ordinary jobs, four a second.
+fn advance_with_traffic(fleet: &mut CrashingFleet, numbers: std::ops::Range<u64>) {
     for number in numbers {
         fleet.hand_in(number, job(vec![step(4)]), &[]);
         fleet.advance(250);
@@ -53,12 +57,11 @@
     let seen = &fleet.starts[crasher];
     assert!(
         starts <= STARTS_AFTER_THREE,
-        "started {starts} times more: {seen:?}"
+        "started {starts} more times: {seen:?}"
     );
     assert_eq!(fleet.stage(crasher.job.0), Some(JobStage::Failed));
 }
 
-/// The jobs of these numbers have all been done.
 fn assert_done(fleet: &CrashingFleet, numbers: std::ops::Range<u64>) {
     for number in numbers {
         assert_eq!(
@@ -69,25 +72,26 @@
     }
 }
 
-/// One owner, and the task among ordinary ones.
-fn one_owner_gives_it_up(mut fleet: CrashingFleet, after: Millis) {
-    pass_with_traffic(&mut fleet, 100..110);
+/// One owner gives up a crashing task among ordinary ones.
+fn one_owner_gives_up_a_crashing_task(mut fleet: CrashingFleet, after: Millis) {
+    advance_with_traffic(&mut fleet, 100..110);
     let crasher = hand_in_crasher(&mut fleet, 7, after);
-    pass_with_traffic(&mut fleet, 110..230);
+    advance_with_traffic(&mut fleet, 110..230);
     fleet.advance(6_000);
     assert_given_up(&fleet, &crasher);
     assert_done(&fleet, 100..230);
 }
 
-/// Each owner dies so long after it has started the task; the next knows what workers crashed under it before.
-fn owners_in_turn_give_it_up(mut fleet: CrashingFleet, dies_after: Millis) {
-    pass_with_traffic(&mut fleet, 100..110);
+/// Each owner dies `dies_after` milliseconds after it has started the task. The next owner knows
+/// which workers the task crashed before.
+fn successive_owners_give_up_a_crashing_task(mut fleet: CrashingFleet, dies_after: Millis) {
+    advance_with_traffic(&mut fleet, 100..110);
     let crasher = hand_in_crasher(&mut fleet, 7, CRASHES_AFTER_MS);
     for owner in 0..6 {
         let before = fleet.start_count(&crasher);
         let first = 110 + owner * 60;
         for number in first..first + 60 {
-            pass_with_traffic(&mut fleet, number..number + 1);
+            advance_with_traffic(&mut fleet, number..number + 1);
             if fleet.start_count(&crasher) > before {
                 break;
             }
@@ -99,8 +103,8 @@
     assert_given_up(&fleet, &crasher);
 }
 
-/// A standing task that crashes its workers, beside standing ones that don't.
-fn standing_crasher_is_given_up() {
+/// A standing task that crashes its workers is given up; other standing tasks are not.
+fn a_standing_crashing_task_is_given_up() {
     let mut fleet = CrashingFleet::new(8);
     let stands = StepSpec {
         standing: true,
@@ -109,16 +113,16 @@
     fleet.hand_in(50, job(vec![stands.clone()]), &[]);
     let crasher = task(51, 0, 2);
     fleet.hand_in(51, job(vec![stands]), &[(crasher, CRASHES_AFTER_MS)]);
-    pass_with_traffic(&mut fleet, 100..220);
+    advance_with_traffic(&mut fleet, 100..220);
     fleet.advance(6_000);
     assert_given_up(&fleet, &crasher);
     assert_eq!(fleet.stage(50), Some(JobStage::Running));
     assert_done(&fleet, 100..220);
 }
 
-/// Workers crash by themselves right after they began a sound task, again and again, but let it work for a while in between: it is never
-/// given up, since each of its runs that is proven clears it.
-fn a_task_that_is_proven_in_between_is_never_given_up() {
+/// Workers repeatedly crash on their own right after they started a sound task, but let it run for
+/// a while in between. The task is never given up, since each run that is cleared clears the task.
+fn a_task_that_is_cleared_in_between_is_never_given_up() {
     let mut fleet = CrashingFleet::new(8);
     let stands = StepSpec {
         standing: true,
@@ -131,10 +135,10 @@
         while fleet.start_count(&unlucky) == before || fleet.place_of(&unlucky).is_none() {
             fleet.advance(25);
         }
-        // Twice on end right after it began, then after it was at work.
-        let at_work = if crash % 3 == 2 { 5_000 } else { 25 };
-        fleet.advance(at_work);
-        let place = fleet.place_of(&unlucky).expect("it is at work");
+        // Two crashes right after the start, then one after the task has run for a while.
+        let run_ms = if crash % 3 == 2 { 5_000 } else { 25 };
+        fleet.advance(run_ms);
+        let place = fleet.place_of(&unlucky).expect("the task runs");
         fleet.crash_worker(place);
         fleet.advance(25);
     }
@@ -143,14 +147,16 @@
     assert!(fleet.place_of(&unlucky).is_some());
 }
 
-/// A worker crashes by itself, and orders go there until that is noticed: what they were to start was never there and starts
-/// elsewhere as usual, and of several crashes so none counts.
-fn orders_to_a_dead_worker_prove_nothing() {
+/// A worker crashes on its own and still gets start orders until the owner notices. Those tasks
+/// never ran there: they start elsewhere as usual, and none of several such crashes counts against
+/// them.
+fn orders_to_a_dead_worker_count_as_no_crashes() {
     let mut fleet = CrashingFleet::new(2);
     let mut number = 100;
     for _ in 0..8 {
         fleet.advance(4_000);
-        // Something has just begun on each worker, which explains why it is not heard any more.
+        // A task has just started on each worker, which could explain why a worker no longer
+        // answers.
         for _ in 0..2 {
             fleet.hand_in(number, job(vec![step(2)]), &[]);
             number += 1;
@@ -165,9 +171,9 @@
     assert_done(&fleet, 100..number);
 }
 
-/// A sound task has just begun each time that many workers go down at once: what brings down workers on which nothing is new has brought
-/// down its worker as well, and it is never given up.
-fn a_task_that_begins_before_herds_crash_is_never_given_up(mut fleet: CrashingFleet) {
+/// A sound task has just started each time that many workers fail at once. Whatever took down the
+/// workers without new tasks took down its worker as well, so the task is never given up.
+fn a_task_started_before_mass_failures_is_never_given_up(mut fleet: CrashingFleet) {
     let stands = StepSpec {
         standing: true,
         ..step(1)
@@ -181,8 +187,8 @@
             assert_ne!(fleet.stage(50), Some(JobStage::Failed), "given up");
         }
         fleet.advance(50);
-        let place = fleet.place_of(&unlucky).expect("it is at work");
-        fleet.crash_others(Some(place), HERD);
+        let place = fleet.place_of(&unlucky).expect("the task runs");
+        fleet.crash_others(Some(place), MASS_FAILURE_WORKERS);
         fleet.crash_worker(place);
         fleet.advance(25);
     }
@@ -190,14 +196,15 @@
     assert_eq!(fleet.stage(50), Some(JobStage::Running));
 }
 
-/// A task that crashes its workers is given up also where others go down by themselves, several at once from time to time.
-fn a_crashing_task_beside_herds_is_given_up(mut fleet: CrashingFleet) {
+/// A task that crashes its workers is given up even if other workers fail on their own, sometimes
+/// several at once.
+fn a_crashing_task_amid_mass_failures_is_given_up(mut fleet: CrashingFleet) {
     let crasher = hand_in_crasher(&mut fleet, 7, CRASHES_AFTER_MS);
     for number in 100..180 {
-        pass_with_traffic(&mut fleet, number..number + 1);
+        advance_with_traffic(&mut fleet, number..number + 1);
         if number % 20 == 13 {
             let busy = fleet.place_of(&crasher);
-            fleet.crash_others(busy, HERD);
+            fleet.crash_others(busy, MASS_FAILURE_WORKERS);
         }
     }
     fleet.advance(10_000);
@@ -205,23 +212,23 @@
 }
 
 sandshelf_cases::cases! {
-    proven_in_between => a_task_that_is_proven_in_between_is_never_given_up();
-    orders_to_the_dead => orders_to_a_dead_worker_prove_nothing();
-    begun_before_herds_crash => a_task_that_begins_before_herds_crash_is_never_given_up(CrashingFleet::new(FLEET));
-    begun_before_herds_restart => a_task_that_begins_before_herds_crash_is_never_given_up(CrashingFleet::restarting(FLEET, 600));
-    crashing_task_given_up_beside_herds => a_crashing_task_beside_herds_is_given_up(CrashingFleet::new(FLEET));
-    crashing_task_given_up_beside_herds_that_restart => a_crashing_task_beside_herds_is_given_up(CrashingFleet::restarting(FLEET, 600));
-    crashing_task_given_up => one_owner_gives_it_up(replaced(), CRASHES_AFTER_MS);
-    standing_crashing_task_given_up => standing_crasher_is_given_up();
-    crashing_task_given_up_by_successors => owners_in_turn_give_it_up(replaced(), REPLACED_AFTER_MS + 1_000);
-    crashing_task_given_up_by_owners_that_see_nothing => owners_in_turn_give_it_up(replaced(), 500);
-    crashing_task_given_up_by_owners_that_see_silence => owners_in_turn_give_it_up(replaced(), 2_000);
-    crashing_task_given_up_late_after_its_start => one_owner_gives_it_up(replaced(), 400);
-    crashing_task_given_up_seconds_after_its_start => one_owner_gives_it_up(replaced(), 900);
-    crashing_task_given_up_on_workers_that_restart => one_owner_gives_it_up(restarting(600), CRASHES_AFTER_MS);
-    crashing_task_given_up_on_workers_that_restart_late => one_owner_gives_it_up(restarting(6_000), CRASHES_AFTER_MS);
-    crashing_task_given_up_late_on_workers_that_restart => one_owner_gives_it_up(restarting(600), 400);
-    crashing_task_given_up_by_successors_on_workers_that_restart => owners_in_turn_give_it_up(restarting(600), 1_500);
-    crashing_task_given_up_unseen_on_workers_that_restart => owners_in_turn_give_it_up(restarting(600), 300);
-    crashing_task_given_up_silent_on_workers_that_restart => owners_in_turn_give_it_up(restarting(3_300), 2_000);
+    cleared_in_between => a_task_that_is_cleared_in_between_is_never_given_up();
+    orders_to_a_dead_worker => orders_to_a_dead_worker_count_as_no_crashes();
+    started_before_mass_failures => a_task_started_before_mass_failures_is_never_given_up(CrashingFleet::new(FLEET_WORKERS));
+    started_before_mass_failures_with_restarts => a_task_started_before_mass_failures_is_never_given_up(CrashingFleet::restarting(FLEET_WORKERS, 600));
+    crashing_task_given_up_amid_mass_failures => a_crashing_task_amid_mass_failures_is_given_up(CrashingFleet::new(FLEET_WORKERS));
+    crashing_task_given_up_amid_mass_failures_with_restarts => a_crashing_task_amid_mass_failures_is_given_up(CrashingFleet::restarting(FLEET_WORKERS, 600));
+    crashing_task_given_up => one_owner_gives_up_a_crashing_task(replaced(), CRASHES_AFTER_MS);
+    standing_crashing_task_given_up => a_standing_crashing_task_is_given_up();
+    crashing_task_given_up_by_successors => successive_owners_give_up_a_crashing_task(replaced(), REPLACED_AFTER_MS + 1_000);
+    crashing_task_given_up_by_owners_that_die_unaware => successive_owners_give_up_a_crashing_task(replaced(), 500);
+    crashing_task_given_up_by_owners_that_notice_silence => successive_owners_give_up_a_crashing_task(replaced(), 2_000);
+    crashing_task_given_up_late_after_its_start => one_owner_gives_up_a_crashing_task(replaced(), 400);
+    crashing_task_given_up_seconds_after_its_start => one_owner_gives_up_a_crashing_task(replaced(), 900);
+    crashing_task_given_up_on_workers_that_restart => one_owner_gives_up_a_crashing_task(restarting(600), CRASHES_AFTER_MS);
+    crashing_task_given_up_on_workers_that_restart_late => one_owner_gives_up_a_crashing_task(restarting(6_000), CRASHES_AFTER_MS);
+    crashing_task_given_up_late_on_workers_that_restart => one_owner_gives_up_a_crashing_task(restarting(600), 400);
+    crashing_task_given_up_by_successors_on_workers_that_restart => successive_owners_give_up_a_crashing_task(restarting(600), 1_500);
+    crashing_task_given_up_on_workers_that_restart_by_owners_that_die_unaware => successive_owners_give_up_a_crashing_task(restarting(600), 300);
+    crashing_task_given_up_on_workers_that_restart_by_owners_that_notice_silence => successive_owners_give_up_a_crashing_task(restarting(3_300), 2_000);
 }
--- a/crates/jobs/tests/second_runs.rs
+++ b/crates/jobs/tests/duplicate_runs.rs
@@ -1,4 +1,5 @@
-//! Runs of one task that stand in two places, whoever ordered them: all but one are stopped, and none is forgotten.
+//! Several runs of one task on different workers, whoever started them: all but one are stopped,
+//! and none is forgotten.
 
 mod support;
 
@@ -15,7 +16,7 @@
     }
 }
 
-/// An owner of epoch 2 that takes over one job of one task, and three workers that have not answered.
+/// An owner of epoch 2 that takes over a job of one task, and three workers that have not answered.
 fn successor() -> SchedulerRig {
     let mut rig = SchedulerRig::new(second_owner(&WORKERS));
     rig.hand_in(7, 50, job(vec![step(1)]));
@@ -23,7 +24,8 @@
     rig
 }
 
-/// Of the runs that workers list only the first that is heard of stays; a stop is sent again until it is answered.
+/// Of the runs that workers report only the first one stays; a stop is sent again until it is
+/// answered.
 fn all_but_one_are_stopped(listed: &[u64]) {
     let mut rig = successor();
     for (worker, run) in WORKERS.iter().zip(listed) {
@@ -47,7 +49,8 @@
     assert!(rig.take_starts().is_empty());
 }
 
-/// A run that was stopped beside the one that stays frees nothing with its end, however it ended; once one of them is done the other is stopped.
+/// The end of a run that was stopped as a duplicate does not free the task, whatever its outcome;
+/// once one of the runs is done the other one is stopped.
 fn the_end_of_another_run_starts_nothing(outcome: RunOutcome) {
     let mut rig = successor();
     rig.report("w-1", vec![run_report(key(11))], vec![]);
@@ -65,7 +68,7 @@
     assert_eq!(stopped, outcome == RunOutcome::Done);
 }
 
-/// A stop was answered, and the run is still listed by looks that went out later: it is stopped again.
+/// A run whose stop was answered, but which answers to later renewals still list, is stopped again.
 fn a_stop_without_effect_is_sent_again() {
     let mut rig = successor();
     rig.report("w-1", vec![run_report(key(11))], vec![]);
@@ -83,7 +86,7 @@
     assert!(rig.stops().contains(&("w-2".to_owned(), second)));
 }
 
-/// A run that is listed of a job which has ended is stopped, also where nobody knows of it any more.
+/// A reported run of an ended job is stopped, even if the owner no longer knows the job.
 fn a_run_of_an_ended_job_is_stopped() {
     let mut rig = successor();
     rig.report("w-1", vec![run_report(key(11))], vec![]);
@@ -96,9 +99,9 @@
     assert_eq!(rig.stops(), [("w-2".to_owned(), key(12))]);
 }
 
-/// A worker that was silent until its lease was over, and still lists the run: it is taken back where no other was started, and stopped
-/// where one was.
-fn a_run_that_was_given_up_is_dealt_with(restarted: bool) {
+/// A worker was silent until its lease was over and then reports its run again. The run is accepted
+/// if no other was started, and stopped if one was.
+fn a_run_that_was_given_up_is_reported_again(restarted: bool) {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     rig.hand_in(7, 0, job(vec![step(1)]));
     let (worker, start) = rig.take_starts().pop().expect("a start");
@@ -111,14 +114,14 @@
     for _ in 0..80 {
         rig.advance(100);
         rig.fail_renewal("w-1");
-        let at_work = others
+        let running = others
             .iter()
             .map(|(_, other): &(_, StartCall)| run_report(other.key));
-        let at_work = at_work.collect();
+        let running = running.collect();
         if restarted {
-            rig.report("w-2", at_work, vec![]);
+            rig.report("w-2", running, vec![]);
         }
-        // What is noted of the loss is durable before the task starts again.
+        // The record of the loss has to be durable before the task starts again.
         rig.commit_all();
         others.extend(rig.take_starts());
     }
@@ -136,7 +139,7 @@
     rig.report("w-1", vec![], vec![end_report(1, start.key, outcome)]);
     rig.advance(100);
     assert!(rig.take_starts().is_empty());
-    // What was taken back is done with its end.
+    // A run that was accepted again completes the task.
     let finished = rig.scheduler.counts(rig.now).jobs == 0;
     assert_eq!(finished, !restarted);
 }
@@ -150,7 +153,7 @@
     end_of_a_lapsed_run => the_end_of_another_run_starts_nothing(RunOutcome::Lapsed);
     end_of_a_done_run => the_end_of_another_run_starts_nothing(RunOutcome::Done);
     stop_without_effect => a_stop_without_effect_is_sent_again();
-    of_an_ended_job => a_run_of_an_ended_job_is_stopped();
-    given_up_and_started_again => a_run_that_was_given_up_is_dealt_with(true);
-    given_up_and_waiting => a_run_that_was_given_up_is_dealt_with(false);
+    run_of_an_ended_job => a_run_of_an_ended_job_is_stopped();
+    given_up_and_restarted => a_run_that_was_given_up_is_reported_again(true);
+    given_up_and_waiting => a_run_that_was_given_up_is_reported_again(false);
 }
--- a/crates/jobs/tests/emulated.rs
+++ b/crates/jobs/tests/emulated.rs
@@ -1,4 +1,4 @@
-//! Randomised runs against the emulator of the platform, with faults that overlap.
+//! Randomised runs against the emulator of the platform, with overlapping faults.
 
 mod support;
 
@@ -16,7 +16,7 @@
 
 /// How long callers hand jobs in, in seconds.
 const TRAFFIC_S: u64 = 20;
-/// How many jobs stand, where some do.
+/// How many standing jobs there are, in plans that have some.
 const STANDING_JOBS: u64 = 6;
 /// How long all jobs that can end may take after the last fault, in milliseconds.
 const SETTLE_MS: u64 = 60_000;
@@ -47,7 +47,7 @@
     }])
 }
 
-/// Draws whether a job has a task that crashes its workers, and which.
+/// Draws whether a job has a task that crashes its workers, and which task that is.
 fn draw_crasher(
     random: &mut ChaCha8Rng,
     number: u64,
@@ -62,37 +62,37 @@
     Some(task(number, step as u32, index))
 }
 
-/// Plays one seed and returns its emulator after all has settled.
-fn play(seed: u64, plan: FaultPlan) -> PlatformEmulator {
+/// Runs one seed and returns its emulator after everything has settled.
+fn run_seed(seed: u64, plan: FaultPlan) -> PlatformEmulator {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let mut platform = PlatformEmulator::new(seed, plan.worker_count(), plan);
-    let mut handed = 0;
+    let mut handed_in = 0;
     let mut standing = Vec::new();
     if plan.standing {
         for _ in 0..STANDING_JOBS {
-            let number = 1_000 + handed;
+            let number = 1_000 + handed_in;
             let mut spec = standing_job(&mut random);
             spec.rules.guarded = plan.guards;
             platform.hand_in(number, spec);
             standing.push(number);
-            handed += 1;
+            handed_in += 1;
         }
     }
     for second in 0..TRAFFIC_S {
         for _ in 0..random.random_range(1..5u32) {
-            let number = 1_000 + handed;
+            let number = 1_000 + handed_in;
             let mut spec = random_job(&mut random);
             spec.rules.guarded = plan.guards;
             let crasher = draw_crasher(&mut random, number, &spec, &plan);
             if platform.hand_in(number, spec) {
-                handed += 1;
+                handed_in += 1;
                 if let Some(crasher) = crasher {
                     platform.make_crasher(crasher);
                 }
             }
         }
-        if second % 4 == 3 && handed > 2 {
-            platform.cancel(1_000 + random.random_range(0..handed));
+        if second % 4 == 3 && handed_in > 2 {
+            platform.cancel(1_000 + random.random_range(0..handed_in));
         }
         platform.advance(1_000, true);
     }
@@ -102,27 +102,29 @@
     }
     platform.advance(1_000 + 2 * plan.slow_writes_ms, false);
     let finished = platform.finished() as u64;
-    if finished != handed {
+    if finished != handed_in {
         let now = platform.now;
-        let what = format!("{} of {handed} jobs did not end", handed - finished);
+        let what = format!("{} of {handed_in} jobs did not end", handed_in - finished);
         platform.oracle.report(now, BrokenRule::Lost, what);
     }
     platform
 }
 
-fn holds(seeds: std::ops::Range<u64>, plan: FaultPlan) {
+fn keeps_all_rules(seeds: std::ops::Range<u64>, plan: FaultPlan) {
     let mut starts = 0;
-    let mut longest_away = 0;
+    let mut longest_away_ms = 0;
     let mut broken = Vec::new();
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let platform = play(seed, plan);
+        let platform = run_seed(seed, plan);
         starts += platform.oracle.starts;
-        longest_away = longest_away.max(platform.oracle.longest_away);
+        longest_away_ms = longest_away_ms.max(platform.oracle.longest_away);
         let seen = platform.oracle.broken.into_iter().take(5);
         broken.extend(seen.map(|seen| (seed, seen)));
     }
-    println!("{count} seeds, {starts} starts, standing tasks away for {longest_away} ms at most");
+    println!(
+        "{count} seeds, {starts} starts, standing tasks away for {longest_away_ms} ms at most"
+    );
     let seeds: BTreeSet<u64> = broken.iter().map(|(seed, _)| *seed).collect();
     assert!(
         broken.is_empty(),
@@ -136,49 +138,53 @@
     );
 }
 
-/// On workers that are reachable no lease runs out, whichever single calls get lost.
-fn keeps_sound_leases(seeds: std::ops::Range<u64>, plan: FaultPlan) {
+/// No lease expires on a reachable worker, whichever single calls are lost.
+fn keeps_leases_of_reachable_workers(seeds: std::ops::Range<u64>, plan: FaultPlan) {
     let lapses: Vec<(u64, usize)> = seeds
-        .map(|seed| (seed, play(seed, plan).sound_lapses))
+        .map(|seed| (seed, run_seed(seed, plan).sound_lapses))
         .filter(|(_, lapses)| *lapses > 0)
         .collect();
-    assert!(lapses.is_empty(), "seeds with how many runs: {lapses:?}");
+    assert!(
+        lapses.is_empty(),
+        "seeds with their numbers of lapsed runs: {lapses:?}"
+    );
 }
 
-/// What must hold also where standing tasks can't be back in time.
-fn is_safe(seeds: std::ops::Range<u64>, plan: FaultPlan) {
+/// Checks all rules except the time limit for standing tasks, which can't be met under some faults.
+fn keeps_safety_rules(seeds: std::ops::Range<u64>, plan: FaultPlan) {
     let count = seeds.end - seeds.start;
     let mut unsafe_seeds = Vec::new();
     for seed in seeds {
-        let mut broken = play(seed, plan).oracle.broken;
+        let mut broken = run_seed(seed, plan).oracle.broken;
         broken.retain(|(_, rule, _)| *rule != BrokenRule::Away);
         unsafe_seeds.extend(broken.into_iter().next().map(|first| (seed, first)));
     }
-    let few = &unsafe_seeds[..unsafe_seeds.len().min(5)];
+    let first_few = &unsafe_seeds[..unsafe_seeds.len().min(5)];
     let broken = unsafe_seeds.len();
-    assert!(broken == 0, "{broken} of {count} seeds: {few:?}");
+    assert!(broken == 0, "{broken} of {count} seeds: {first_few:?}");
 }
 
 /// The seeds that an environment variable names as `FIRST:LAST`, for longer runs by hand.
-fn named_seeds(variable: &str, few: &str) -> std::ops::Range<u64> {
-    let named = std::env::var(variable).unwrap_or_else(|_| few.to_owned());
+fn named_seeds(variable: &str, default: &str) -> std::ops::Range<u64> {
+    let named = std::env::var(variable).unwrap_or_else(|_| default.to_owned());
     let (first, last) = named.split_once(':').expect("seeds are named FIRST:LAST");
     let number = |text: &str| text.parse::<u64>().expect("a seed is a number");
     number(first)..number(last) + 1
 }
 
-/// A longer run by hand: `SANDSHELF_SEEDS=1:2000` names the seeds; without it a few are played.
+/// A longer run by hand: `SANDSHELF_SEEDS=1:2000` names the seeds; without it a few are run.
 fn long_run() {
     let seeds = named_seeds("SANDSHELF_SEEDS", "1:10");
-    holds(seeds.clone(), all_faults());
-    holds(seeds.clone(), unreliable_owners());
-    is_safe(seeds.clone(), late_clocks());
-    is_safe(seeds.clone(), unlisted_workers());
-    is_safe(seeds, workers_gone_for_good());
+    keeps_all_rules(seeds.clone(), all_faults());
+    keeps_all_rules(seeds.clone(), unreliable_owners());
+    keeps_safety_rules(seeds.clone(), late_clocks());
+    keeps_safety_rules(seeds.clone(), unlisted_workers());
+    keeps_safety_rules(seeds, workers_gone_for_good());
 }
 
-/// A longer run by hand on tasks that crash their workers: `SANDSHELF_CRASH_SEEDS=1:2000`.
-fn crash_run() {
+/// A longer run by hand with tasks that crash their workers: `SANDSHELF_CRASH_SEEDS=1:2000`, and
+/// `SANDSHELF_CRASH_PLAN=0` for a single plan.
+fn long_crash_run() {
     let seeds = named_seeds("SANDSHELF_CRASH_SEEDS", "1:5");
     let slowly = |plan| FaultPlan {
         slow_crashers: 100,
@@ -198,14 +204,14 @@
             .as_ref()
             .is_none_or(|chosen| *chosen == number.to_string())
         {
-            is_safe(seeds.clone(), plan);
+            keeps_safety_rules(seeds.clone(), plan);
         }
     }
 }
 
-/// A longer run by hand on workers that start again under their names: `SANDSHELF_LIFE_SEEDS=1:2000`, `SANDSHELF_LIFE_PLAN=0` for one
-/// plan alone.
-fn life_run() {
+/// A longer run by hand with workers that restart under their names: `SANDSHELF_LIFE_SEEDS=1:2000`,
+/// and `SANDSHELF_LIFE_PLAN=0` for a single plan.
+fn long_restart_run() {
     let seeds = named_seeds("SANDSHELF_LIFE_SEEDS", "1:5");
     let plans = [
         restarting_workers(),
@@ -220,29 +226,29 @@
             .as_ref()
             .is_none_or(|chosen| *chosen == number.to_string())
         {
-            is_safe(seeds.clone(), plan);
+            keeps_safety_rules(seeds.clone(), plan);
         }
     }
 }
 
-/// A longer run by hand on halls that are cut off: `SANDSHELF_HALL_SEEDS=1:2000`.
-fn hall_run() {
+/// A longer run by hand with halls that are cut off or evacuated: `SANDSHELF_HALL_SEEDS=1:2000`.
+fn long_hall_run() {
     let seeds = named_seeds("SANDSHELF_HALL_SEEDS", "1:5");
-    is_safe(seeds.clone(), halls_cut());
-    is_safe(seeds.clone(), halls_cut_and_other_faults());
-    is_safe(seeds.clone(), halls_evacuated());
-    is_safe(seeds, halls_evacuated_and_cut());
+    keeps_safety_rules(seeds.clone(), halls_cut());
+    keeps_safety_rules(seeds.clone(), halls_cut_and_other_faults());
+    keeps_safety_rules(seeds.clone(), halls_evacuated());
+    keeps_safety_rules(seeds, halls_evacuated_and_cut());
 }
 
-/// Each rule of the oracle fires on what breaks it.
-fn oracle_sees(rule: BrokenRule, play: impl Fn(&mut PlatformOracle)) {
+/// The oracle reports exactly one violation, of the given rule.
+fn oracle_reports(rule: BrokenRule, events: impl Fn(&mut PlatformOracle)) {
     let mut oracle = PlatformOracle::default();
     let second = StepSpec {
         after: vec![0],
         ..step(1)
     };
     oracle.accepted(sandshelf_jobs::JobNumber(1), &job(vec![step(1), second]));
-    play(&mut oracle);
+    events(&mut oracle);
     let seen: Vec<_> = oracle.broken.iter().map(|(_, rule, _)| *rule).collect();
     assert_eq!(seen, vec![rule]);
 }
@@ -259,87 +265,87 @@
 }
 
 sandshelf_cases::cases! {
-    calm_days => holds(0..6, no_faults());
-    calls_lost_and_late => holds(100..130, unreliable_calls());
-    workers_crash_leave_and_are_cut => holds(200..230, unreliable_workers());
-    owners_die_freeze_and_lose_the_store => holds(300..330, unreliable_owners());
-    sound_leases => keeps_sound_leases(600..630, lost_calls());
-    late_store_clocks => is_safe(700..730, late_clocks());
-    unlisted_and_slow => is_safe(800..830, unlisted_workers());
-    standing_tasks_come_back => holds(500..530, workers_gone_for_good());
-    everything_at_once => holds(400..430, all_faults());
-    tasks_crash_their_workers => holds(900..930, crashing_tasks());
-    tasks_and_workers_crash => is_safe(1_000..1_030, crashing_tasks_and_workers());
-    tasks_crash_and_owners_die => is_safe(1_100..1_130, crashing_tasks_and_owners());
-    tasks_crash_amid_all_else => holds(1_200..1_230, crashing_tasks_and_all_faults());
-    crashes_by_hand => crash_run();
-    rooms_shrink => is_safe(1_300..1_330, shrinking_capacity());
-    rooms_by_hand => is_safe(named_seeds("SANDSHELF_ROOM_SEEDS", "1:5"), shrinking_capacity());
-    small_rooms_by_hand => is_safe(named_seeds("SANDSHELF_SMALL_ROOM_SEEDS", "1:5"), FaultPlan { least_room: 30, ..shrinking_capacity() });
-    workers_start_again => holds(1_400..1_430, restarting_workers());
-    workers_start_again_amid_all => holds(1_500..1_530, restarting_workers_and_all_faults());
-    workers_start_again_and_owners_die => is_safe(1_600..1_630, restarting_workers_and_owners());
-    workers_start_again_under_tasks => holds(1_700..1_730, restarting_workers_and_crashing_tasks());
-    workers_start_again_with_other_rooms => is_safe(1_800..1_830, restarting_workers_and_capacity());
-    halls_are_cut => is_safe(1_900..1_930, halls_cut());
-    halls_are_cut_amid_all => is_safe(2_000..2_030, halls_cut_and_other_faults());
-    halls_are_evacuated => is_safe(2_100..2_130, halls_evacuated());
-    halls_are_evacuated_and_cut => is_safe(2_200..2_230, halls_evacuated_and_cut());
-    halls_by_hand => hall_run();
-    lives_by_hand => life_run();
+    runs_without_faults => keeps_all_rules(0..6, no_faults());
+    calls_lost_and_late => keeps_all_rules(100..130, unreliable_calls());
+    workers_crash_leave_and_are_cut => keeps_all_rules(200..230, unreliable_workers());
+    owners_die_freeze_and_lose_the_store => keeps_all_rules(300..330, unreliable_owners());
+    leases_of_reachable_workers => keeps_leases_of_reachable_workers(600..630, lost_calls());
+    late_store_clocks => keeps_safety_rules(700..730, late_clocks());
+    unlisted_workers_and_slow_writes => keeps_safety_rules(800..830, unlisted_workers());
+    standing_tasks_return => keeps_all_rules(500..530, workers_gone_for_good());
+    all_faults_at_once => keeps_all_rules(400..430, all_faults());
+    tasks_crash_their_workers => keeps_all_rules(900..930, crashing_tasks());
+    tasks_and_workers_crash => keeps_safety_rules(1_000..1_030, crashing_tasks_and_workers());
+    tasks_crash_and_owners_die => keeps_safety_rules(1_100..1_130, crashing_tasks_and_owners());
+    tasks_crash_amid_all_faults => keeps_all_rules(1_200..1_230, crashing_tasks_and_all_faults());
+    crashes_by_hand => long_crash_run();
+    capacity_shrinks => keeps_safety_rules(1_300..1_330, shrinking_capacity());
+    capacity_by_hand => keeps_safety_rules(named_seeds("SANDSHELF_ROOM_SEEDS", "1:5"), shrinking_capacity());
+    small_capacity_by_hand => keeps_safety_rules(named_seeds("SANDSHELF_SMALL_ROOM_SEEDS", "1:5"), FaultPlan { least_room: 30, ..shrinking_capacity() });
+    workers_restart => keeps_all_rules(1_400..1_430, restarting_workers());
+    workers_restart_amid_all_faults => keeps_all_rules(1_500..1_530, restarting_workers_and_all_faults());
+    workers_restart_and_owners_die => keeps_safety_rules(1_600..1_630, restarting_workers_and_owners());
+    workers_restart_after_task_crashes => keeps_all_rules(1_700..1_730, restarting_workers_and_crashing_tasks());
+    workers_restart_and_capacity_shrinks => keeps_safety_rules(1_800..1_830, restarting_workers_and_capacity());
+    halls_are_cut => keeps_safety_rules(1_900..1_930, halls_cut());
+    halls_are_cut_amid_other_faults => keeps_safety_rules(2_000..2_030, halls_cut_and_other_faults());
+    halls_are_evacuated => keeps_safety_rules(2_100..2_130, halls_evacuated());
+    halls_are_evacuated_and_cut => keeps_safety_rules(2_200..2_230, halls_evacuated_and_cut());
+    halls_by_hand => long_hall_run();
+    restarts_by_hand => long_restart_run();
     seeds_by_hand => long_run();
-    away_by_hand => holds(named_seeds("SANDSHELF_AWAY_SEEDS", "500:509"), workers_gone_for_good());
-    leases_by_hand => keeps_sound_leases(named_seeds("SANDSHELF_LEASE_SEEDS", "600:609"), lost_calls());
-    oracle_twice_at_once => oracle_sees(BrokenRule::Twice, |oracle| {
+    standing_tasks_by_hand => keeps_all_rules(named_seeds("SANDSHELF_AWAY_SEEDS", "500:509"), workers_gone_for_good());
+    leases_by_hand => keeps_leases_of_reachable_workers(named_seeds("SANDSHELF_LEASE_SEEDS", "600:609"), lost_calls());
+    oracle_concurrent_runs => oracle_reports(BrokenRule::Twice, |oracle| {
         oracle.started(0, &worker("a"), run(0, 1), true);
         oracle.started(1, &worker("b"), run(0, 2), true);
     });
-    oracle_twice_after_the_end => oracle_sees(BrokenRule::Twice, |oracle| {
+    oracle_run_after_the_end => oracle_reports(BrokenRule::Twice, |oracle| {
         oracle.started(0, &worker("a"), run(0, 1), true);
         oracle.ended(&worker("a"), run(0, 1), Some(RunOutcome::Done));
         oracle.acknowledged(run(0, 1), RunOutcome::Done);
         oracle.started(9, &worker("b"), run(0, 2), true);
     });
-    oracle_order => oracle_sees(BrokenRule::Order, |oracle| {
+    oracle_step_order => oracle_reports(BrokenRule::Order, |oracle| {
         oracle.started(0, &worker("a"), run(1, 1), true);
     });
-    oracle_budget => oracle_sees(BrokenRule::Budget, |oracle| {
+    oracle_attempt_limit => oracle_reports(BrokenRule::Budget, |oracle| {
         for number in 1..=3 {
             oracle.acknowledged(run(0, number), RunOutcome::Failed);
         }
         oracle.started(0, &worker("a"), run(0, 4), true);
     });
-    oracle_budget_of_crashes => oracle_sees(BrokenRule::Budget, |oracle| {
+    oracle_crash_limit => oracle_reports(BrokenRule::Budget, |oracle| {
         for number in 1..=6 {
             oracle.started(number, &worker("a"), run(0, number), true);
             oracle.crashed(&worker("a"), run(0, number));
             oracle.ended(&worker("a"), run(0, number), None);
         }
     });
-    oracle_given_up_without_cause => oracle_sees(BrokenRule::Lost, |oracle| {
+    oracle_given_up_without_cause => oracle_reports(BrokenRule::Lost, |oracle| {
         oracle.crashed(&worker("a"), run(0, 1));
         oracle.shown(0, sandshelf_jobs::JobNumber(1), JobStage::Failed);
     });
-    oracle_unasked => oracle_sees(BrokenRule::Unasked, |oracle| {
+    oracle_unknown_job => oracle_reports(BrokenRule::Unasked, |oracle| {
         let key = RunKey { task: task(2, 0, 0), run: 1 };
         oracle.started(0, &worker("a"), key, true);
     });
-    oracle_unasked_after_cancelling => oracle_sees(BrokenRule::Unasked, |oracle| {
+    oracle_start_after_cancelling => oracle_reports(BrokenRule::Unasked, |oracle| {
         oracle.cancelled(0, sandshelf_jobs::JobNumber(1));
         oracle.started(3_001, &worker("a"), run(0, 1), true);
     });
-    oracle_away => oracle_sees(BrokenRule::Away, |oracle| {
+    oracle_standing_task_away => oracle_reports(BrokenRule::Away, |oracle| {
         let stands = StepSpec { standing: true, ..step(1) };
         oracle.accepted(sandshelf_jobs::JobNumber(2), &job(vec![stands]));
         let room = SoundRoom { under_half: true, calm_ms: 0, free: vec![listing("w-1").capacity; 2] };
-        for look in 1..100 {
-            oracle.look_for_away(look * 100, 100, &room);
+        for check in 1..100 {
+            oracle.look_for_away(check * 100, 100, &room);
         }
     });
-    oracle_evacuated => oracle_sees(BrokenRule::Evacuated, |oracle| {
+    oracle_start_in_evacuated_hall => oracle_reports(BrokenRule::Evacuated, |oracle| {
         oracle.started_in_evacuated(5_001, 0, run(0, 1));
     });
-    oracle_mixed => oracle_sees(BrokenRule::Mixed, |oracle| {
+    oracle_completed_without_runs => oracle_reports(BrokenRule::Mixed, |oracle| {
         oracle.shown(0, sandshelf_jobs::JobNumber(1), JobStage::Completed);
     });
 }
--- a/crates/jobs/tests/handover.rs
+++ b/crates/jobs/tests/handover.rs
@@ -1,12 +1,15 @@
 //! Standing tasks around a change of owner.
 //!
-//! What users saw: while workers were replaced one after the other and hosts were restarted in turn, single standing tasks stayed away from work for
-//! nine to eleven seconds, though there was ample room for them. The order of events: a worker says that it leaves; the owner gives the shard up as
-//! planned; its successor reads the list of workers first and learns only then, from each worker, what runs there. The move away from a worker
-//! that leaves was ordered at the moment at which the list first said so, when nothing was known to run there, and never again; and what nobody
-//! reported was held back until every worker had answered, those among them that were gone, or until the longest lease was over. Evidence: the
-//! successor's log has no `task_stopped cause=draining` for any worker that began to leave in the second around the hand-over, and tasks were
-//! put back into the queue 11.2 s after it began, which is a lease of 10 s on a clock 2 % slow and a margin of 1 s.
+//! Guards against standing tasks that stay away for nine to eleven seconds while workers and hosts
+//! are restarted in turn, although there is enough free capacity. A worker announces that it drains
+//! and the owner releases the shard as planned. The new owner reads the list of workers first and
+//! learns only then, from each worker, what runs there. Tasks were moved off a draining worker only
+//! at the moment when a list first showed it as draining; at that time no runs were known, and the
+//! move was not repeated. A task that nobody reported was held back until every worker had
+//! answered, including workers that were gone, or until the longest lease was over. In the new
+//! owner's log there is no `task_stopped cause=draining` for a worker that began to drain in the
+//! second around the hand-over, and tasks were queued again 11.2 s after the takeover: a lease of
+//! 10 s on a clock that is 2 % slow, plus a margin of 1 s.
 
 mod support;
 
@@ -17,11 +20,11 @@
 use sandshelf_model::{Millis, WorkerId};
 use support::{end_report, job, listing, run_report, step, task, SchedulerRig};
 
-/// How long after its last run a standing task has to be at work again.
-const BACK_WITHIN_MS: Millis = 9_000;
-/// From a worker's death to a new owner's first look, at worst: the former owner dies before it notes the worker's silence
-/// durably, and ownership passes in 1.9 s.
-const UNNOTICED_MS: Millis = 3_000;
+/// How long after its last run a standing task must be running again.
+const STANDING_TASK_RETURN_MS: Millis = 9_000;
+/// The longest time from a worker's death to the next owner's first renewals: the former owner dies
+/// before it has durably recorded the worker's silence, and ownership passes in 1.9 s.
+const UNRECORDED_SILENCE_MS: Millis = 3_000;
 
 /// Limits of a deployment whose workers grant leases of 10 s.
 fn long_leases() -> SchedulerLimits {
@@ -38,7 +41,8 @@
     }
 }
 
-/// An owner of epoch 2 that finds two workers in the roster, with leases of a length where it is said, and one standing job.
+/// An owner of epoch 2 that finds two workers in the roster, with the published length of leases if
+/// any, and one standing job.
 fn successor(lease_ms: Option<Millis>) -> SchedulerRig {
     let roster = ["w-1", "w-2"].map(|name| (WorkerId::from(name), listing(name).address));
     let info = TakeoverInfo {
@@ -66,8 +70,8 @@
     }
 }
 
-/// A new owner reads the list, in which a worker leaves, before that worker has told what runs there.
-fn a_leaving_workers_tasks_move_once_they_are_known() {
+/// A new owner sees a worker as draining in the list before that worker has reported its runs.
+fn a_draining_workers_tasks_move_once_they_are_reported() {
     let mut rig = successor(Some(published_lease_ms()));
     rig.list_entries(vec![
         WorkerListing {
@@ -82,8 +86,9 @@
     assert_eq!(rig.stops(), [("w-1".to_owned(), key(11))]);
 }
 
-/// A worker that leaves has ended all that it was given: a successor need not wait for its answer, also where it is gone by then.
-fn a_leaving_worker_without_tasks_is_not_waited_for() {
+/// A draining worker without runs is removed from the roster: a new owner need not wait for its
+/// answer, even if it is gone by then.
+fn a_draining_worker_without_tasks_leaves_the_roster() {
     let mut rig = SchedulerRig::with_workers(&["w-1", "w-2"]);
     let before = rig
         .commit_all()
@@ -107,8 +112,9 @@
     assert_eq!((both, left), (2, vec!["w-2"]));
 }
 
-/// One with a task stays in the roster until that has ended and its end is durable.
-fn a_leaving_worker_with_a_task_is_waited_for() {
+/// A draining worker with a task stays in the roster until the task has ended and its end is
+/// durable.
+fn a_draining_worker_with_a_task_stays_in_the_roster() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(7, 0, job(vec![step(1)]));
     let (_, start) = rig.take_starts().pop().expect("a start");
@@ -122,7 +128,7 @@
         .commit_all()
         .into_iter()
         .filter_map(|batch| batch.roster);
-    assert_eq!(rosters.count(), 0, "the task is at work there");
+    assert_eq!(rosters.count(), 0, "the task runs there");
     rig.report(
         "w-1",
         vec![],
@@ -136,7 +142,7 @@
     assert!(rosters.last().expect("a roster").workers.is_empty());
 }
 
-/// How long the leases of an owner are, by what it publishes for its successor.
+/// The length of leases that an owner publishes for its successor.
 fn published_lease_ms() -> Millis {
     let mut rig = SchedulerRig::with_limits(long_leases(), TakeoverInfo::first(1, 1_000));
     rig.list(&["w-1"]);
@@ -149,7 +155,7 @@
     lease_ms.expect("a length of leases")
 }
 
-/// No hold and no start leases anything for longer than a successor is told.
+/// No renewal and no start order grants a lease longer than the published one.
 fn no_lease_is_longer_than_published() {
     let published = published_lease_ms();
     let mut rig = SchedulerRig::with_limits(long_leases(), TakeoverInfo::first(1, 1_000));
@@ -169,8 +175,8 @@
     );
 }
 
-/// An owner that doesn't say how long its leases are may have granted the longest.
-fn the_longest_lease_is_waited_out_where_none_is_named() {
+/// An owner that publishes no length of leases may have granted the longest.
+fn the_longest_lease_is_assumed_if_none_is_published() {
     let mut rig = successor(None);
     rig.list(&["w-2"]);
     for _ in 0..110 {
@@ -187,11 +193,11 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A worker died just before the takeover, with a standing task on it: it never answers.
+/// A worker with a standing task died just before the takeover and never answers.
 fn a_dead_workers_standing_task_is_back_in_time() {
     let mut rig = successor(Some(published_lease_ms()));
     rig.list(&["w-2"]);
-    for _ in 0..(BACK_WITHIN_MS - UNNOTICED_MS) / 100 {
+    for _ in 0..(STANDING_TASK_RETURN_MS - UNRECORDED_SILENCE_MS) / 100 {
         rig.report("w-2", vec![], vec![]);
         rig.fail_renewal("w-1");
         rig.advance(100);
@@ -199,17 +205,17 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// What the store's clock is ahead of the rig's.
-const STORE_AHEAD_MS: u64 = 500_000;
+/// How far the store's clock is ahead of the rig's.
+const STORE_CLOCK_AHEAD_MS: u64 = 500_000;
 
-/// An owner whose worker of a standing task has fallen silent, with the marks that it asked for; the worker last answered at
-/// the time that is returned.
+/// An owner whose worker with a standing task has fallen silent: the rig, the worker's name, the
+/// time of its last answer, and the silence records that the owner has written.
 fn owner_of_a_silent_worker() -> (SchedulerRig, String, Millis, SilentWorkers) {
     let mut rig = SchedulerRig::with_limits(long_leases(), TakeoverInfo::first(1, 1_000));
     rig.list(&["w-1", "w-2"]);
     rig.handle(JobEvent::StoreClock {
         at: rig.now,
-        at_most_ms: rig.now + STORE_AHEAD_MS,
+        at_most_ms: rig.now + STORE_CLOCK_AHEAD_MS,
     });
     rig.report("w-1", vec![], vec![]);
     rig.report("w-2", vec![], vec![]);
@@ -223,60 +229,61 @@
         rig.report(other, vec![], vec![]);
         rig.fail_renewal(&silent);
     }
-    let marks = rig
+    let records = rig
         .commit_all()
         .into_iter()
         .filter_map(|batch| batch.silent);
-    let marks = marks.last().expect("marks");
-    (rig, silent, last_answer, marks)
+    let records = records.last().expect("silence records");
+    (rig, silent, last_answer, records)
 }
 
-/// When what a silent worker holds is over is written down, in the store's time and not too early.
-fn a_silent_workers_lease_end_is_written_down() {
-    let (_, silent, last_answer, marks) = owner_of_a_silent_worker();
-    let over_at = marks.over_at[&WorkerId::from(silent.as_str())] - STORE_AHEAD_MS;
+/// The end of a silent worker's lease is written in the store's time, and not too early.
+fn a_silent_workers_lease_end_is_recorded() {
+    let (_, silent, last_answer, records) = owner_of_a_silent_worker();
+    let over_at = records.over_at[&WorkerId::from(silent.as_str())] - STORE_CLOCK_AHEAD_MS;
     let lease = over_at - last_answer;
     assert!(
         (4_082..4_400).contains(&lease),
         "{lease} ms after its last answer"
     );
-    assert_eq!(marks.over_at.len(), 1);
+    assert_eq!(records.over_at.len(), 1);
 }
 
-/// A marked worker answers again: its lease is prolonged only once no successor can read the mark any more.
-fn a_marked_lease_is_not_prolonged() {
+/// A worker with a silence record answers again: its lease is renewed only once no successor can
+/// read the record any more.
+fn a_lease_with_a_silence_record_is_not_renewed() {
     let (mut rig, silent, ..) = owner_of_a_silent_worker();
     let id = WorkerId::from(silent.as_str());
-    let prolonged = |rig: &SchedulerRig| {
-        let holds = rig.actions.iter().filter_map(|action| match action {
+    let renewed = |rig: &SchedulerRig| {
+        let renewals = rig.actions.iter().filter_map(|action| match action {
             JobAction::Call {
                 worker,
-                call: WorkerCall::Renew(hold),
+                call: WorkerCall::Renew(renewal),
                 ..
-            } if *worker == id => hold.deadline,
+            } if *worker == id => renewal.deadline,
             _ => None,
         });
-        holds.count() > 0
+        renewals.count() > 0
     };
     for _ in 0..10 {
         rig.report(&silent, vec![], vec![]);
         rig.advance(50);
     }
-    assert!(!prolonged(&rig), "the mark is still there");
+    assert!(!renewed(&rig), "the record still exists");
     let batch = rig.take_commit().expect("a write");
-    assert!(batch.silent.expect("marks").over_at.is_empty());
+    assert!(batch.silent.expect("silence records").over_at.is_empty());
     rig.report(&silent, vec![], vec![]);
-    assert!(!prolonged(&rig), "the write may not have taken effect");
+    assert!(!renewed(&rig), "the write may not have taken effect");
     rig.handle(JobEvent::Committed(batch.id));
     rig.commit_all();
     rig.report(&silent, vec![], vec![]);
-    assert!(prolonged(&rig));
+    assert!(renewed(&rig));
 }
 
-/// A successor waits for a marked worker only until the time that the mark names.
-fn a_successor_waits_no_longer_than_marked() {
+/// A successor waits for a worker with a silence record only until the time in the record.
+fn a_successor_waits_until_the_recorded_lease_end() {
     let roster = ["w-1", "w-2"].map(|name| (WorkerId::from(name), listing(name).address));
-    let over_at = [(WorkerId::from("w-1"), STORE_AHEAD_MS + 1_500)];
+    let over_at = [(WorkerId::from("w-1"), STORE_CLOCK_AHEAD_MS + 1_500)];
     let mut rig = SchedulerRig::with_limits(
         long_leases(),
         TakeoverInfo {
@@ -295,7 +302,7 @@
                 over_at: over_at.into(),
                 ..SilentWorkers::default()
             },
-            store_ms: STORE_AHEAD_MS + 1_000,
+            store_ms: STORE_CLOCK_AHEAD_MS + 1_000,
             ..TakeoverInfo::default()
         },
     );
@@ -308,10 +315,13 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A run that fails shortly after a takeover may not have been the first: ends that were not durable before are told by workers that have yet to answer.
-/// What users saw: after an outage of the store and the loss of all hosts right behind it a task was started once more than its queue allows. Order of
-/// events: four runs of it failed, on four workers, while nothing could be written; the new owner heard of the last of them first, and
-/// started the next run a quarter of a second before the other workers had answered.
+/// A run that fails shortly after a takeover may not be the first failure: ends that were not
+/// durable before are reported by workers that have not answered yet.
+///
+/// Guards against one start more than the queue allows. After an outage of the store and the loss
+/// of all hosts, four runs of a task had failed on four workers while nothing could be written. The
+/// new owner learned of the last failure first and started the next run a quarter of a second
+/// before the other workers had answered.
 fn a_failed_task_waits_for_all_reports(failed_before: u64) {
     let mut rig = successor(None);
     let mut bounded = job(vec![step(1)]);
@@ -340,7 +350,7 @@
     let before = (1..=failed_before).map(|run| end_report(run, key(10 + run), RunOutcome::Failed));
     rig.report("w-2", vec![], before.collect());
     rig.advance(50);
-    // Two more failures are as many as there may be.
+    // Two earlier failures and this one are as many as are allowed.
     assert_eq!(started(&rig), failed_before < 2);
 }
 
@@ -348,13 +358,13 @@
     failed_once_of_three => a_failed_task_waits_for_all_reports(0);
     failed_twice_of_three => a_failed_task_waits_for_all_reports(1);
     failed_as_often_as_allowed => a_failed_task_waits_for_all_reports(2);
-    leaving_worker_known_before_its_runs => a_leaving_workers_tasks_move_once_they_are_known();
-    leaving_worker_without_tasks => a_leaving_worker_without_tasks_is_not_waited_for();
-    leaving_worker_with_a_task => a_leaving_worker_with_a_task_is_waited_for();
-    no_longer_lease => no_lease_is_longer_than_published();
-    unnamed_lease => the_longest_lease_is_waited_out_where_none_is_named();
-    lease_end_written => a_silent_workers_lease_end_is_written_down();
-    marked_lease => a_marked_lease_is_not_prolonged();
-    marked_wait => a_successor_waits_no_longer_than_marked();
+    draining_worker_listed_before_its_runs => a_draining_workers_tasks_move_once_they_are_reported();
+    draining_worker_without_tasks => a_draining_worker_without_tasks_leaves_the_roster();
+    draining_worker_with_a_task => a_draining_worker_with_a_task_stays_in_the_roster();
+    lease_within_published_length => no_lease_is_longer_than_published();
+    unpublished_lease => the_longest_lease_is_assumed_if_none_is_published();
+    lease_end_recorded => a_silent_workers_lease_end_is_recorded();
+    recorded_lease_not_renewed => a_lease_with_a_silence_record_is_not_renewed();
+    recorded_lease_end_bounds_wait => a_successor_waits_until_the_recorded_lease_end();
     standing_task_back_after_takeover => a_dead_workers_standing_task_is_back_in_time();
 }
--- a/crates/jobs/tests/relay.rs
+++ b/crates/jobs/tests/relay.rs
@@ -1,4 +1,5 @@
-//! An owner's orders through other hosts: who carries what, and what becomes of it when hosts come, go or say nonsense.
+//! An owner's orders that other hosts relay: which host carries which order, and what happens when
+//! hosts join, leave or send invalid messages.
 
 mod support;
 
@@ -11,7 +12,8 @@
 use sandshelf_model::WorkerId;
 use support::relaying::*;
 
-/// A small deployment pays nothing for relays: its owner calls its workers itself, however many hosts offer help.
+/// A small deployment does not use relays: its owner calls its workers itself, however many hosts
+/// offer to relay.
 fn a_small_deployment_is_called_directly() {
     let mut dispatcher = dispatcher(250, 66);
     for host in 0..8 {
@@ -27,7 +29,7 @@
     assert_eq!(route(&mut dispatcher, 0, 1, renewal()), None);
 }
 
-/// Orders stay in the worker's hall: bytes between halls are dear.
+/// Orders are relayed within the worker's hall, since traffic between halls is expensive.
 fn each_hall_is_served_by_its_own_hosts() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let north = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
@@ -38,8 +40,9 @@
     }
 }
 
-/// As few relays as have room: 200 workers a hall need two strong hosts, or nine weak ones.
-fn as_few_relays_as_have_room() {
+/// As few relays as have the capacity are used: for 200 workers in each hall, two strong hosts a
+/// hall, or nine weak ones.
+fn as_few_relays_as_have_capacity() {
     let in_use = |processor_millicores| {
         let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
         for host in 0..20 {
@@ -59,14 +62,14 @@
     );
 }
 
-/// Of a hall without hosts the workers are served from elsewhere.
+/// Workers in a hall without hosts are served from another hall.
 fn a_hall_without_hosts_is_served_from_elsewhere() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let north = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
     assert_eq!(route(&mut dispatcher, 0, 1, renewal()), Some(north));
 }
 
-/// When a relay goes, only its workers get another.
+/// When a relay leaves, only its workers get another one.
 fn only_the_workers_of_a_lost_relay_move() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     for host in 0..4 {
@@ -88,7 +91,8 @@
     }
 }
 
-/// What a lost relay had under way gets no answer, each order once, and what it says later changes nothing.
+/// Each order in flight at a lost relay is reported as unanswered once, and later messages from
+/// that relay change nothing.
 fn a_lost_relay_answers_nothing() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let relay = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
@@ -108,9 +112,9 @@
     );
 }
 
-/// A relay that leaves an order without an answer is given up with all that it has under way; the bound counts from the end of the
-/// wait that was asked for.
-fn a_relay_that_is_behind_is_given_up() {
+/// A relay that leaves an order unanswered is given up together with all its orders in flight; the
+/// timeout counts from the end of the requested wait.
+fn a_relay_that_does_not_answer_in_time_is_given_up() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let relay = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
     route(&mut dispatcher, 0, 0, renewal());
@@ -121,23 +125,24 @@
     assert_eq!(route(&mut dispatcher, 1_602, 0, renewal()), None);
 }
 
-/// One whose connection fell silent may come back at once; one that is lost again soon is left alone for a while.
-fn a_relay_that_is_lost_twice_is_left_alone() {
+/// A relay whose connection fell silent may rejoin at once; one that is lost again soon is not used
+/// for a while.
+fn a_relay_that_is_lost_twice_is_not_used() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
-    for (began, carries) in [(0, true), (3_000, true), (6_000, false), (12_000, true)] {
-        dispatcher.tick(began);
+    for (joined_at, carries) in [(0, true), (3_000, true), (6_000, false), (12_000, true)] {
+        dispatcher.tick(joined_at);
         let relay = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
-        let routed = route(&mut dispatcher, began, 0, renewal());
-        assert_eq!(routed == Some(relay), carries, "at {began}");
+        let routed = route(&mut dispatcher, joined_at, 0, renewal());
+        assert_eq!(routed == Some(relay), carries, "at {joined_at}");
         if carries {
-            assert_eq!(dispatcher.tick(began + 1_700).lost, [relay]);
+            assert_eq!(dispatcher.tick(joined_at + 1_700).lost, [relay]);
         } else {
             dispatcher.leave(0, relay);
         }
     }
 }
 
-/// A relay that says nothing is lost also without an order; it is asked for a word before.
+/// A silent relay is lost even without an order in flight; a heartbeat is requested first.
 fn a_silent_relay_is_lost() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let relay = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
@@ -148,22 +153,22 @@
     assert_eq!(dispatcher.tick(12_000).lost, [relay]);
 }
 
-/// A host that is about to stop gets nothing new, and what it answers counts until it is gone.
-fn a_leaving_relay_ends_what_it_has() {
+/// A host that is about to stop gets no new orders, and its answers count until it is gone.
+fn a_leaving_relay_answers_its_orders() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let leaving = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
     let staying = join(&mut dispatcher, "b", 1, STRONG_HOST_MILLICORES);
     assert_eq!(route(&mut dispatcher, 0, 0, start(1)), Some(leaving));
     dispatcher.handle_message(1, leaving, RelayMessage::Leaves(EPOCH));
     assert_eq!(route(&mut dispatcher, 2, 0, renewal()), Some(staying));
-    let told = answers(vec![(1, OrderAnswer::Done(1).into())]);
-    assert_eq!(dispatcher.handle_message(3, leaving, told).events.len(), 1);
+    let sent = answers(vec![(1, OrderAnswer::Done(1).into())]);
+    assert_eq!(dispatcher.handle_message(3, leaving, sent).events.len(), 1);
     assert_eq!(dispatcher.leave(0, leaving), []);
     assert_eq!(route(&mut dispatcher, 4, 0, renewal()), Some(staying));
 }
 
-/// A host that comes again while its old connection is not known to be over.
-fn a_host_that_comes_again_gets_new_orders() {
+/// A host that rejoins before its old connection is known to be closed gets new orders.
+fn a_host_that_rejoins_gets_new_orders() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let before = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
     route(&mut dispatcher, 0, 0, renewal());
@@ -172,7 +177,8 @@
     assert_eq!(route(&mut dispatcher, 0, 0, renewal()), Some(after));
 }
 
-/// Answers to orders that the sender doesn't carry, of another epoch or of another kind change nothing.
+/// Answers to orders that the sender doesn't carry, of another epoch or of another kind change
+/// nothing.
 fn foreign_answers_change_nothing() {
     let mut dispatcher = dispatcher(STRONG_HOST_MILLICORES, 400);
     let north = join(&mut dispatcher, "a", 0, STRONG_HOST_MILLICORES);
@@ -202,8 +208,8 @@
         (north, empty_orders(EPOCH, 0), RelayFault::Misdirected),
     ];
     for (relay, message, fault) in cases {
-        let intake = dispatcher.handle_message(1, relay, message);
-        assert_eq!((intake.events, intake.faults), (vec![], vec![fault]));
+        let outcome = dispatcher.handle_message(1, relay, message);
+        assert_eq!((outcome.events, outcome.faults), (vec![], vec![fault]));
     }
     let good = dispatcher.handle_message(2, north, answers(vec![(1, OrderAnswer::Done(1).into())]));
     let done = JobEvent::StartAnswered(worker(0), key(1), OrderAnswer::Done(1));
@@ -218,14 +224,14 @@
         (1, OrderAnswer::Done(1).into()),
         (1, OrderAnswer::Done(1).into()),
     ];
-    let intake = dispatcher.handle_message(1, relay, answers(twice));
+    let outcome = dispatcher.handle_message(1, relay, answers(twice));
     assert_eq!(
-        (intake.events.len(), intake.faults),
+        (outcome.events.len(), outcome.faults),
         (1, vec![RelayFault::UnknownOrder(1)])
     );
 }
 
-fn other_versions_are_told_apart() {
+fn other_versions_are_refused() {
     let mut other = handshake("a", 0, STRONG_HOST_MILLICORES);
     other.version += 1;
     let bytes = encode_handshake(&other);
@@ -238,8 +244,9 @@
     );
 }
 
-/// Ten holds in one message, with names as long as the platform's: a call of its own takes 240 bytes and more.
-fn a_hold_takes_few_bytes() {
+/// The size of messages with one and with ten renewals, with names as long as the platform's. A
+/// call of its own takes 240 bytes or more.
+fn a_renewal_takes_few_bytes() {
     let mut dispatcher = RelayDispatcher::new(EPOCH, WEAK_HOST_MILLICORES);
     let name = |number: usize| WorkerId::from(format!("i-{number:010x}"));
     dispatcher.note_workers((0..890).map(|number| (name(number), hall(number))));
@@ -249,8 +256,8 @@
         last_seen: 157,
         wait_ms: 500,
     });
-    let bytes = |holds: usize, dispatcher: &mut RelayDispatcher| {
-        for number in 0..holds {
+    let bytes = |renewals: usize, dispatcher: &mut RelayDispatcher| {
+        for number in 0..renewals {
             dispatcher.route(
                 0,
                 &name(number),
@@ -267,7 +274,8 @@
     );
 }
 
-/// A new owner with an eighth of a core waits for help before its first calls to 890 workers, a strong one doesn't.
+/// A new owner with an eighth of a core waits for relays before its first calls to 890 workers; a
+/// strong one doesn't.
 fn a_weak_owner_waits_for_relays() {
     let waits = |processor_millicores, hosts| {
         let offers: Vec<_> = (0..hosts)
@@ -285,19 +293,19 @@
     small_deployment => a_small_deployment_is_called_directly();
     no_relays => without_relays_all_is_called_directly();
     halls => each_hall_is_served_by_its_own_hosts();
-    few_relays => as_few_relays_as_have_room();
+    fewest_relays => as_few_relays_as_have_capacity();
     empty_hall => a_hall_without_hosts_is_served_from_elsewhere();
     moved_workers => only_the_workers_of_a_lost_relay_move();
     lost_relay => a_lost_relay_answers_nothing();
-    relay_behind => a_relay_that_is_behind_is_given_up();
-    lost_twice => a_relay_that_is_lost_twice_is_left_alone();
+    relay_times_out => a_relay_that_does_not_answer_in_time_is_given_up();
+    lost_twice => a_relay_that_is_lost_twice_is_not_used();
     silent_relay => a_silent_relay_is_lost();
-    leaving => a_leaving_relay_ends_what_it_has();
-    came_again => a_host_that_comes_again_gets_new_orders();
+    leaving => a_leaving_relay_answers_its_orders();
+    rejoined => a_host_that_rejoins_gets_new_orders();
     foreign_answers => foreign_answers_change_nothing();
     answered_once => an_answer_counts_once();
-    other_versions => other_versions_are_told_apart();
-    short_holds => a_hold_takes_few_bytes();
+    other_versions => other_versions_are_refused();
+    short_renewals => a_renewal_takes_few_bytes();
     weak_owner => a_weak_owner_waits_for_relays();
 }
 
--- a/crates/jobs/tests/relay_explored.rs
+++ b/crates/jobs/tests/relay_explored.rs
@@ -1,5 +1,5 @@
-//! Every order of what may happen to orders of two owners on their way through two hosts to two workers, up to a depth; and faults
-//! that have to be found.
+//! Model check of relayed orders: explores all sequences of events, up to a depth, for two owners
+//! whose orders pass through two hosts to two workers. Planted faults have to be found.
 
 use sandshelf_jobs::relay::{
     decode_message, encode_message, OrderRoute, RelayAgent, RelayDispatcher, RelayHandshake,
@@ -9,40 +9,40 @@
 use sandshelf_jobs::{JobEvent, JobNumber, OrderAnswer, RefusalReason, RunKey, StartCall, TaskKey};
 use sandshelf_model::{Epoch, HallId, HostId, WorkerId};
 
-/// How many things happen on each path.
+/// The largest depth at which a planted fault has to be found.
 const DEPTH: usize = 9;
-/// The epochs of the two owners; the first is deposed.
+/// The epochs of the two owners; the first one is deposed.
 const EPOCHS: [Epoch; 2] = [7, 8];
-/// The halls of the two hosts, in each of which one of the workers stands.
+/// The halls of the two hosts; one of the workers is in each.
 const HALLS: [&str; 2] = ["north", "south"];
-/// Workers that are listed beside the two, so that owners need help.
-const OTHERS: usize = 100;
+/// How many workers are listed, more than the two of the model, so that owners need relays.
+const LISTED_WORKERS: usize = 100;
 
-/// What is wrong with a part of the model.
+/// A fault that is planted in a part of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedFault {
     None,
-    /// Workers carry out orders of epochs that are over.
+    /// Workers carry out orders of earlier epochs.
     StaleOrders,
-    /// Relays carry an order again that comes twice.
-    TwiceCarried,
-    /// An owner forgets what a lost relay had under way.
-    LostForgotten,
-    /// An owner takes an answer from whoever sends it.
-    AnyAnswer,
+    /// Relays carry out an order again that arrives twice.
+    DuplicateOrders,
+    /// An owner forgets the orders in flight at a lost relay.
+    ForgottenOrders,
+    /// An owner accepts an answer from any sender.
+    AnySender,
 }
 
-/// What broke.
+/// The guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum BrokenPromise {
-    /// A worker began a run for an owner that it knew to be deposed.
+enum BrokenGuarantee {
+    /// A worker started a run for an owner that it knew to be deposed.
     StaleStart,
-    /// A run was begun twice by one order.
-    TwiceStarted,
-    /// An order has neither an answer nor a way to get one.
-    NeverTold,
-    /// An owner was told twice of one order, or told that it was done which never was.
-    FalselyTold,
+    /// One order started a run twice.
+    DuplicateStart,
+    /// An order has no answer and can't get one any more.
+    NeverAnswered,
+    /// An owner got two answers to one order, or was told that an order was done that never was.
+    FalseAnswer,
 }
 
 #[derive(Clone, Default)]
@@ -51,11 +51,11 @@
     started: Vec<(Epoch, RunKey)>,
 }
 
-/// A connection of one owner to one host, with what is on its way.
+/// A connection of one owner to one host, with the messages in flight.
 #[derive(Clone)]
 struct ModelLink {
     relay: RelayNumber,
-    station: RelayAgent,
+    agent: RelayAgent,
     to_relay: Vec<RelayMessage>,
     carried: Vec<RelayedOrder>,
     to_owner: Vec<RelayMessage>,
@@ -67,8 +67,8 @@
     epoch: Epoch,
     dispatcher: RelayDispatcher,
     links: Vec<ModelLink>,
-    /// For each order that was given: the worker, the run, and what was told of it.
-    given: Vec<(usize, RunKey, Vec<OrderAnswer>)>,
+    /// For each order that was sent: the worker, the run, and its answers.
+    orders: Vec<(usize, RunKey, Vec<OrderAnswer>)>,
 }
 
 #[derive(Clone)]
@@ -77,14 +77,14 @@
     workers: Vec<ModelWorker>,
 }
 
-/// One thing that happens, to an owner's link where it names one.
+/// An event; the numbers name the owner and, except for `Order`, its link.
 #[derive(Clone, Copy, Debug)]
 enum ModelStep {
-    Give(usize, usize),
+    Order(usize, usize),
     Deliver(usize, usize),
     DeliverAgain(usize, usize),
     Carry(usize, usize),
-    Tell(usize, usize),
+    Answer(usize, usize),
     Cut(usize, usize),
 }
 
@@ -108,13 +108,14 @@
 impl ModelOwner {
     fn new(epoch: Epoch) -> Self {
         let mut dispatcher = RelayDispatcher::new(epoch, 100);
-        let places = (0..OTHERS).map(|number| (worker(number), HallId::from(HALLS[number % 2])));
+        let places =
+            (0..LISTED_WORKERS).map(|number| (worker(number), HallId::from(HALLS[number % 2])));
         dispatcher.note_workers(places);
         let links = HALLS.map(|hall| {
             let handshake = RelayHandshake::new(HostId::from(hall), HallId::from(hall), 500);
             ModelLink {
                 relay: dispatcher.join(0, handshake).expect("the same version"),
-                station: RelayAgent::new(epoch),
+                agent: RelayAgent::new(epoch),
                 to_relay: Vec::new(),
                 carried: Vec::new(),
                 to_owner: Vec::new(),
@@ -125,14 +126,14 @@
             epoch,
             dispatcher,
             links: links.to_vec(),
-            given: Vec::new(),
+            orders: Vec::new(),
         }
     }
 
-    fn told(&mut self, event: JobEvent) {
+    fn note_answer(&mut self, event: JobEvent) {
         if let JobEvent::StartAnswered(_, run, answer) = event {
-            for (_, given, answers) in &mut self.given {
-                if *given == run {
+            for (_, ordered, answers) in &mut self.orders {
+                if *ordered == run {
                     answers.push(answer);
                 }
             }
@@ -151,8 +152,8 @@
     fn steps(&self) -> Vec<ModelStep> {
         let mut steps = Vec::new();
         for (owner, state) in self.owners.iter().enumerate() {
-            if state.given.len() < 2 {
-                steps.push(ModelStep::Give(owner, state.given.len()));
+            if state.orders.len() < 2 {
+                steps.push(ModelStep::Order(owner, state.orders.len()));
             }
             for (number, link) in state.links.iter().enumerate() {
                 if !link.to_relay.is_empty() {
@@ -163,7 +164,7 @@
                     steps.push(ModelStep::Carry(owner, number));
                 }
                 if !link.to_owner.is_empty() && link.up {
-                    steps.push(ModelStep::Tell(owner, number));
+                    steps.push(ModelStep::Answer(owner, number));
                 }
                 if link.up {
                     steps.push(ModelStep::Cut(owner, number));
@@ -173,20 +174,20 @@
         steps
     }
 
-    fn take(&mut self, step: ModelStep, fault: PlantedFault) -> Result<(), BrokenPromise> {
+    fn apply(&mut self, step: ModelStep, fault: PlantedFault) -> Result<(), BrokenGuarantee> {
         match step {
-            ModelStep::Give(owner, number) => self.give(owner, number),
+            ModelStep::Order(owner, number) => self.order(owner, number),
             ModelStep::Deliver(owner, link) => self.deliver(owner, link, true, fault),
             ModelStep::DeliverAgain(owner, link) => self.deliver(owner, link, false, fault),
             ModelStep::Carry(owner, link) => return self.carry(owner, link, fault),
-            ModelStep::Tell(owner, link) => self.tell(owner, link, fault),
+            ModelStep::Answer(owner, link) => self.answer_owner(owner, link, fault),
             ModelStep::Cut(owner, link) => self.cut(owner, link, fault),
         }
-        self.check_told()
+        self.check_answers()
     }
 
-    /// An owner gives an order to start one run on one worker.
-    fn give(&mut self, owner: usize, number: usize) {
+    /// An owner orders a run on one worker.
+    fn order(&mut self, owner: usize, number: usize) {
         let state = &mut self.owners[owner];
         let run = key(owner, number);
         let call = WorkerCall::Start(StartCall {
@@ -198,11 +199,11 @@
         let route = state
             .dispatcher
             .route(0, &worker(number), ([10, 0, 0, 1], 80).into(), call);
-        state.given.push((number, run, Vec::new()));
+        state.orders.push((number, run, Vec::new()));
         if let OrderRoute::Direct(_) = route {
-            // Both hosts are cut off: the owner's own call is another matter.
+            // Both hosts are cut off; the owner's direct call is not part of the model.
             state
-                .given
+                .orders
                 .last_mut()
                 .expect("just given")
                 .2
@@ -214,30 +215,30 @@
         }
     }
 
-    /// A message comes to its host; or a copy of it does, and it comes once more.
-    fn deliver(&mut self, owner: usize, number: usize, last: bool, fault: PlantedFault) {
+    /// A message arrives at its host; unless `last`, a copy stays in flight and arrives again.
+    fn deliver(&mut self, owner: usize, number: usize, last_copy: bool, fault: PlantedFault) {
         let link = &mut self.owners[owner].links[number];
         let message = link.to_relay[0].clone();
-        if last {
+        if last_copy {
             link.to_relay.remove(0);
         }
         let message = decode_message(&encode_message(&message)).expect("what was encoded");
-        if let (PlantedFault::TwiceCarried, RelayMessage::Orders(batch)) = (fault, &message) {
+        if let (PlantedFault::DuplicateOrders, RelayMessage::Orders(batch)) = (fault, &message) {
             link.carried.extend(batch.orders.clone());
         }
-        match link.station.handle_message(0, message) {
-            Ok(orders) if fault != PlantedFault::TwiceCarried => link.carried.extend(orders),
+        match link.agent.handle_message(0, message) {
+            Ok(orders) if fault != PlantedFault::DuplicateOrders => link.carried.extend(orders),
             _ => {}
         }
     }
 
-    /// A host carries one order to its worker, late or not, and takes the answer.
+    /// A host carries one order to its worker, late or not, and records the answer.
     fn carry(
         &mut self,
         owner: usize,
         number: usize,
         fault: PlantedFault,
-    ) -> Result<(), BrokenPromise> {
+    ) -> Result<(), BrokenGuarantee> {
         let epoch = self.owners[owner].epoch;
         let link = &mut self.owners[owner].links[number];
         let order = link.carried.remove(0);
@@ -254,27 +255,28 @@
             target.started.push((epoch, start.key));
             OrderAnswer::Done(0)
         };
-        link.station
-            .finish(order.number, RelayedAnswer::from(answer));
-        link.to_owner.extend(link.station.take_answers());
+        link.agent.finish(order.number, RelayedAnswer::from(answer));
+        link.to_owner.extend(link.agent.take_answers());
         let same = |(_, key): &&(Epoch, RunKey)| *key == start.key;
         match (stale, answer) {
-            (true, OrderAnswer::Done(_)) => Err(BrokenPromise::StaleStart),
-            _ if target.started.iter().filter(same).count() > 1 => Err(BrokenPromise::TwiceStarted),
+            (true, OrderAnswer::Done(_)) => Err(BrokenGuarantee::StaleStart),
+            _ if target.started.iter().filter(same).count() > 1 => {
+                Err(BrokenGuarantee::DuplicateStart)
+            }
             _ => Ok(()),
         }
     }
 
-    fn tell(&mut self, owner: usize, number: usize, fault: PlantedFault) {
+    fn answer_owner(&mut self, owner: usize, number: usize, fault: PlantedFault) {
         let state = &mut self.owners[owner];
         let message = state.links[number].to_owner.remove(0);
         let from = match fault {
-            // The other host says it in this one's name.
-            PlantedFault::AnyAnswer => state.links[1 - number].relay,
+            // The answer comes from the other host.
+            PlantedFault::AnySender => state.links[1 - number].relay,
             _ => state.links[number].relay,
         };
         for event in state.dispatcher.handle_message(0, from, message).events {
-            state.told(event);
+            state.note_answer(event);
         }
     }
 
@@ -282,34 +284,36 @@
         let state = &mut self.owners[owner];
         state.links[number].up = false;
         let events = state.dispatcher.leave(0, state.links[number].relay);
-        if fault != PlantedFault::LostForgotten {
-            events.into_iter().for_each(|event| state.told(event));
+        if fault != PlantedFault::ForgottenOrders {
+            events
+                .into_iter()
+                .for_each(|event| state.note_answer(event));
         }
     }
 
-    /// Each order was told of at most once, truly, and may still be told of where it was not.
-    fn check_told(&self) -> Result<(), BrokenPromise> {
+    /// Each order has at most one answer, which is true, and may still get one if it has none.
+    fn check_answers(&self) -> Result<(), BrokenGuarantee> {
         for state in &self.owners {
-            let under_way = |run: &RunKey| {
+            let may_be_answered = |run: &RunKey| {
                 let links = state.links.iter().filter(|link| link.up);
-                let mut holds = links.flat_map(|link| {
-                    let waiting = link.to_relay.iter().any(|message| names(message, run));
+                let mut in_flight = links.flat_map(|link| {
+                    let queued = link.to_relay.iter().any(|message| names(message, run));
                     let carried = link.carried.iter().any(|order| starts(order, run));
-                    [waiting, carried, !link.to_owner.is_empty()]
+                    [queued, carried, !link.to_owner.is_empty()]
                 });
-                holds.any(|held| held)
+                in_flight.any(|held| held)
             };
-            for (place, run, answers) in &state.given {
+            for (place, run, answers) in &state.orders {
                 let started = self.workers[*place].started.iter();
                 let started = started.filter(|(_, key)| key == run).count();
-                let falsely = answers
+                let false_answer = answers
                     .iter()
                     .any(|answer| matches!(answer, OrderAnswer::Done(_)) && started == 0);
-                if answers.len() > 1 || falsely {
-                    return Err(BrokenPromise::FalselyTold);
+                if answers.len() > 1 || false_answer {
+                    return Err(BrokenGuarantee::FalseAnswer);
                 }
-                if answers.is_empty() && !under_way(run) {
-                    return Err(BrokenPromise::NeverTold);
+                if answers.is_empty() && !may_be_answered(run) {
+                    return Err(BrokenGuarantee::NeverAnswered);
                 }
             }
         }
@@ -325,42 +329,42 @@
     matches!(message, RelayMessage::Orders(batch) if batch.orders.iter().any(|order| starts(order, run)))
 }
 
-/// Follows all paths; returns how many there are, or the first that breaks a promise.
-fn explore(model: &RelayModel, depth: usize, fault: PlantedFault) -> Result<u64, BrokenPromise> {
+/// Explores all paths; returns their number, or the first violation.
+fn explore(model: &RelayModel, depth: usize, fault: PlantedFault) -> Result<u64, BrokenGuarantee> {
     if depth == 0 {
         return Ok(1);
     }
     let mut paths = 0;
     for step in model.steps() {
         let mut next = model.clone();
-        next.take(step, fault)?;
+        next.apply(step, fault)?;
         paths += explore(&next, depth - 1, fault)?;
     }
     Ok(paths.max(1))
 }
 
-/// How deep all paths are followed; deeper by hand.
+/// The depth to which all paths are explored; deeper ones are for runs by hand.
 fn chosen_depth() -> usize {
     let chosen = std::env::var("SANDSHELF_DEPTH");
     chosen.map_or(6, |depth| depth.parse().expect("a depth is a number"))
 }
 
-fn keeps_every_promise(depth: usize) {
+fn keeps_every_guarantee(depth: usize) {
     let paths = explore(&RelayModel::new(), depth, PlantedFault::None);
-    let paths = paths.expect("no promise is broken");
+    let paths = paths.expect("no guarantee is violated");
     println!("{paths} paths of {depth} steps");
     assert!(paths > 10_000, "{paths} paths");
 }
 
-fn finds(fault: PlantedFault, broken: BrokenPromise) {
+fn finds(fault: PlantedFault, broken: BrokenGuarantee) {
     let found = (1..=DEPTH).find_map(|depth| explore(&RelayModel::new(), depth, fault).err());
     assert_eq!(found, Some(broken));
 }
 
 sandshelf_cases::cases! {
-    all_paths => keeps_every_promise(chosen_depth());
-    finds_stale_orders => finds(PlantedFault::StaleOrders, BrokenPromise::StaleStart);
-    finds_orders_carried_twice => finds(PlantedFault::TwiceCarried, BrokenPromise::TwiceStarted);
-    finds_what_is_told_to_nobody => finds(PlantedFault::LostForgotten, BrokenPromise::NeverTold);
-    finds_answers_of_others => finds(PlantedFault::AnyAnswer, BrokenPromise::NeverTold);
+    all_paths => keeps_every_guarantee(chosen_depth());
+    finds_stale_orders => finds(PlantedFault::StaleOrders, BrokenGuarantee::StaleStart);
+    finds_duplicate_orders => finds(PlantedFault::DuplicateOrders, BrokenGuarantee::DuplicateStart);
+    finds_forgotten_orders => finds(PlantedFault::ForgottenOrders, BrokenGuarantee::NeverAnswered);
+    finds_answers_from_any_sender => finds(PlantedFault::AnySender, BrokenGuarantee::NeverAnswered);
 }
--- a/crates/jobs/tests/marks.rs
+++ b/crates/jobs/tests/silence_records.rs
@@ -1,8 +1,8 @@
-//! What is written of leases and of silent workers, and who may rely on it.
+//! What is stored about leases and silent workers, and who may rely on it.
 //!
-//! A reviewer brought two runs of a task about on three ways: by a first roster that named no lease at all, by a reading of the
-//! store's clock that was taken in late and kept for good, and by a worker that lists omitted for a moment while its mark
-//! could still be read.
+//! Guards against two runs of one task, which came about in three ways: a first roster that stated
+//! no length of leases, a reading of the store's clock that was handled late and kept for good, and
+//! a worker that lists omitted for a moment while its silence record could still be read.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 use support::{job, listing, run_report, step, task, SchedulerRig};
 
-/// What the store's clock is ahead of the rig's.
-const STORE_AHEAD_MS: u64 = 500_000;
+/// How far the store's clock is ahead of the rig's.
+const STORE_CLOCK_AHEAD_MS: u64 = 500_000;
 
 /// Limits of a deployment whose workers grant leases of 10 s.
 fn long_leases() -> SchedulerLimits {
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is durable after a rig's writes.
+/// The rows that are durable after a rig's writes.
 #[derive(Default)]
 struct DurableRows {
     roster: WorkerRoster,
@@ -38,8 +38,9 @@
 }
 
 impl DurableRows {
-    /// Of an owner that marked its one worker: that one's lease is over at a time of the store's clock.
-    fn marked(over_at: u64) -> Self {
+    /// Rows of an owner that recorded the silence of its only worker, whose lease ends at `over_at`
+    /// on the store's clock.
+    fn with_silence_record(over_at: u64) -> Self {
         Self {
             roster: WorkerRoster {
                 epoch: 1,
@@ -63,10 +64,10 @@
     }
 }
 
-fn show_clock(rig: &mut SchedulerRig, at: Millis) {
+fn report_store_clock(rig: &mut SchedulerRig, at: Millis) {
     rig.handle(JobEvent::StoreClock {
         at,
-        at_most_ms: at + STORE_AHEAD_MS,
+        at_most_ms: at + STORE_CLOCK_AHEAD_MS,
     });
 }
 
@@ -74,18 +75,18 @@
     WorkerId::from(name)
 }
 
-/// The very first owner, with two workers.
+/// The first owner of the shard, with two workers.
 fn first_owner() -> SchedulerRig {
     let mut rig = SchedulerRig::with_limits(long_leases(), TakeoverInfo::first(1, 1_000));
     rig.list(&["w-1", "w-2"]);
     let now = rig.now;
-    show_clock(&mut rig, now);
+    report_store_clock(&mut rig, now);
     rig.report("w-1", vec![], vec![]);
     rig.report("w-2", vec![], vec![]);
     rig
 }
 
-/// The owner after that of epoch 1, which finds rows; its jobs are one that stands, with a task for each worker.
+/// The owner of epoch 2, which finds `rows`, with one standing job that has a task for each worker.
 fn owner_after(claimed_at: Millis, rules_since: u64, rows: DurableRows) -> SchedulerRig {
     let mut rig = SchedulerRig::with_limits(
         long_leases(),
@@ -96,7 +97,7 @@
             rules_since,
             roster: rows.roster,
             silent: rows.silent,
-            store_ms: claimed_at + STORE_AHEAD_MS,
+            store_ms: claimed_at + STORE_CLOCK_AHEAD_MS,
             ..TakeoverInfo::default()
         },
     );
@@ -106,8 +107,9 @@
     rig
 }
 
-/// When such an owner starts what nobody reports, with one worker that answers and one that does not.
-fn starts_after(rig: &mut SchedulerRig) -> Millis {
+/// How long such an owner waits before it starts a task that nobody reports, while `w-2` answers
+/// and `w-1` does not.
+fn wait_before_start(rig: &mut SchedulerRig) -> Millis {
     let claimed_at = rig.now;
     while rig.peek_starts().is_empty() {
         rig.report("w-2", vec![], vec![]);
@@ -118,8 +120,8 @@
     rig.now - claimed_at
 }
 
-/// The first roster that is written names the leases that the owner grants.
-fn the_first_roster_names_the_leases() {
+/// The first roster that is written states the length of the owner's leases.
+fn the_first_roster_states_the_lease_length() {
     let mut rig = first_owner();
     let first = rig
         .take_commit()
@@ -129,15 +131,16 @@
     assert_eq!((first.epoch, first.lease_ms), (1, Some(4_000)));
 }
 
-/// A reading of the store's clock counts for the moment at which it came, however late it is taken in.
-fn a_late_reading_counts_for_its_time() {
+/// A reading of the store's clock counts for the moment at which it arrived, however late it is
+/// handled.
+fn a_late_reading_counts_for_its_arrival() {
     let mut early = first_owner();
     let mut late = SchedulerRig::with_limits(long_leases(), TakeoverInfo::first(1, 1_000));
     late.list(&["w-1", "w-2"]);
     late.report("w-1", vec![], vec![]);
     late.report("w-2", vec![], vec![]);
     late.advance(300);
-    show_clock(&mut late, 1_000);
+    report_store_clock(&mut late, 1_000);
     early.advance(300);
     let over_at = |rig: &mut SchedulerRig| {
         for _ in 0..30 {
@@ -145,18 +148,18 @@
             rig.report("w-2", vec![], vec![]);
             rig.fail_renewal("w-1");
         }
-        let marks = rig
+        let records = rig
             .commit_all()
             .into_iter()
             .filter_map(|batch| batch.silent);
-        marks.last().expect("marks").over_at[&id("w-1")]
+        records.last().expect("silence records").over_at[&id("w-1")]
     };
     assert_eq!(over_at(&mut late), over_at(&mut early));
 }
 
-/// A worker that lists omit while it is marked is forgotten; when it is listed again nothing prolongs its lease before the
-/// mark is gone for certain.
-fn a_mark_outlives_what_is_known_of_its_worker() {
+/// A worker with a silence record that lists omit is forgotten. When it is listed again its lease
+/// is not renewed before the record is certainly gone.
+fn a_silence_record_outlives_the_workers_entry() {
     let mut rig = first_owner();
     let mut rows = DurableRows::default();
     rows.write(&mut rig);
@@ -170,12 +173,12 @@
     rig.hand_in(50, 0, job(vec![step(1)]));
     rig.take_starts();
     rig.advance(100);
-    let under_way = rig.take_commit().expect("a write under way");
+    let in_flight = rig.take_commit().expect("a write in flight");
     rig.list(&["w-2"]);
     rig.advance(50);
     rig.list(&["w-1", "w-2"]);
     rig.actions.clear();
-    // Half of them have room on the other worker.
+    // Half of these tasks fit on the other worker.
     let large = StepSpec {
         size: ResourceSize::new(7_000, 1_000, 0),
         ..standing(4)
@@ -185,32 +188,34 @@
         rig.report("w-1", vec![], vec![]);
         rig.advance(25);
     }
-    let on_marked = |rig: &SchedulerRig| {
+    let starts_on_recorded = |rig: &SchedulerRig| {
         let starts = rig.peek_starts();
         starts.iter().any(|(worker, _)| worker == "w-1")
     };
     assert!(
-        !on_marked(&rig),
+        !starts_on_recorded(&rig),
         "a successor would read that the lease is over"
     );
-    rig.handle(JobEvent::Committed(under_way.id));
+    rig.handle(JobEvent::Committed(in_flight.id));
     rows.write(&mut rig);
     assert!(!rows.silent.over_at.contains_key(&id("w-1")));
     rig.report("w-1", vec![], vec![]);
     rig.advance(100);
-    assert!(on_marked(&rig), "the mark is gone");
+    assert!(starts_on_recorded(&rig), "the record is gone");
 }
 
-/// An owner of an earlier version came between: it neither heeded marks nor granted short leases, whatever the rows say.
-fn rows_before_another_version_say_nothing() {
-    let rows = DurableRows::marked(STORE_AHEAD_MS);
+/// An owner of an earlier version ran in between: it neither respected silence records nor granted
+/// short leases, whatever the rows say.
+fn rows_from_before_another_version_are_ignored() {
+    let rows = DurableRows::with_silence_record(STORE_CLOCK_AHEAD_MS);
     let mut rig = owner_after(9_000, 0, rows);
-    let waited = starts_after(&mut rig);
+    let waited = wait_before_start(&mut rig);
     assert!(waited >= 11_000, "{waited} ms; leases of 10 s may last");
 }
 
-/// The leases of an earlier version outlast the first answers of its successor, which goes on naming them.
-fn longer_leases_are_named_until_they_are_over() {
+/// The leases of an earlier version's owner outlast the workers' first answers to its successor,
+/// which keeps publishing their length until they are over.
+fn longer_leases_are_published_until_they_are_over() {
     let mut rig = owner_after(9_000, 0, DurableRows::default());
     let key = RunKey {
         task: task(7, 0, 0),
@@ -230,8 +235,9 @@
     assert_eq!(rows.roster.lease_ms, Some(4_000));
 }
 
-/// A worker that never answered its new owner is marked with the time at which the earlier owner's lease is over, not before.
-fn an_unanswered_workers_mark_names_the_inherited_lease() {
+/// A worker that never answered the new owner gets a silence record with the end of the earlier
+/// owner's lease, not an earlier time.
+fn a_workers_silence_record_covers_the_inherited_lease() {
     let rows = DurableRows {
         roster: WorkerRoster {
             epoch: 1,
@@ -242,7 +248,7 @@
         ..DurableRows::default()
     };
     let mut rig = owner_after(9_000, 1, rows);
-    show_clock(&mut rig, 9_000);
+    report_store_clock(&mut rig, 9_000);
     let mut written = DurableRows::default();
     for _ in 0..10 {
         rig.advance(100);
@@ -250,15 +256,16 @@
         rig.fail_renewal("w-1");
         written.write(&mut rig);
     }
-    let over_at = written.silent.over_at[&id("w-1")] - STORE_AHEAD_MS;
+    let over_at = written.silent.over_at[&id("w-1")] - STORE_CLOCK_AHEAD_MS;
     assert!((14_000..14_200).contains(&over_at), "{over_at}");
-    let waited = starts_after(&mut rig);
+    let waited = wait_before_start(&mut rig);
     assert!(waited >= 3_000, "{waited} ms");
 }
 
-/// An inherited mark forbids this owner, too, to prolong the lease or to start anything there.
-fn an_inherited_mark_is_heeded() {
-    let rows = DurableRows::marked(STORE_AHEAD_MS + 9_500);
+/// An inherited silence record forbids the new owner as well to renew the worker's lease or to
+/// start anything there.
+fn an_inherited_silence_record_is_respected() {
+    let rows = DurableRows::with_silence_record(STORE_CLOCK_AHEAD_MS + 9_500);
     let mut rig = owner_after(9_000, 1, rows);
     rig.commit_all();
     rig.actions.clear();
@@ -269,36 +276,36 @@
     rig.commit_all();
     rig.report("w-1", vec![], vec![]);
     rig.advance(100);
-    assert!(!rig.deadlines_of("w-1").is_empty(), "the mark is gone");
+    assert!(!rig.deadlines_of("w-1").is_empty(), "the record is gone");
 }
 
-/// Of two readings of the store's clock the one that says less counts: the other came late.
-fn the_least_reading_counts() {
+/// Of two readings of the store's clock the smaller one counts: the other one was delayed.
+fn the_smallest_reading_counts() {
     let over_at = |second: u64| {
         let mut rig = first_owner();
         let at = rig.now;
         rig.handle(JobEvent::StoreClock {
             at,
-            at_most_ms: at + STORE_AHEAD_MS + second,
+            at_most_ms: at + STORE_CLOCK_AHEAD_MS + second,
         });
         for _ in 0..30 {
             rig.advance(100);
             rig.report("w-2", vec![], vec![]);
             rig.fail_renewal("w-1");
         }
-        let marks = rig
+        let records = rig
             .commit_all()
             .into_iter()
             .filter_map(|batch| batch.silent);
-        marks.last().expect("marks").over_at[&id("w-1")]
+        records.last().expect("silence records").over_at[&id("w-1")]
     };
     assert_eq!(over_at(400), over_at(0));
 }
 
-/// A worker that was marked answers its new owner once and falls silent again: what it reported is under the earlier lease, and
-/// starts nowhere else before that is over.
+/// A worker with a silence record answers the new owner once and falls silent again. The run that
+/// it reported is under the earlier lease and starts nowhere else before that lease is over.
 fn a_first_report_is_under_the_inherited_lease() {
-    let rows = DurableRows::marked(STORE_AHEAD_MS + 12_000);
+    let rows = DurableRows::with_silence_record(STORE_CLOCK_AHEAD_MS + 12_000);
     let mut rig = owner_after(9_000, 1, rows);
     let key = RunKey {
         task: task(7, 0, 0),
@@ -323,9 +330,9 @@
     assert!(again(&rig));
 }
 
-/// One hold that gets lost marks nobody; two on end do, and as long as the mark stands the worker is asked without a wait, so that
-/// its lease is prolonged in time.
-fn one_lost_hold_marks_nobody() {
+/// One lost renewal causes no silence record; two in a row do. While the record exists the worker
+/// is polled without a wait, so that its lease is renewed in time.
+fn one_lost_renewal_causes_no_silence_record() {
     let mut rig = first_owner();
     rig.commit_all();
     rig.fail_renewal("w-1");
@@ -333,11 +340,11 @@
     assert!(rig.commit_all().iter().all(|batch| batch.silent.is_none()));
     rig.advance(100);
     rig.fail_renewal("w-1");
-    let marks = rig
+    let records = rig
         .commit_all()
         .into_iter()
         .filter_map(|batch| batch.silent);
-    assert_eq!(marks.last().expect("marks").over_at.len(), 1);
+    assert_eq!(records.last().expect("silence records").over_at.len(), 1);
     rig.actions.clear();
     rig.report("w-1", vec![], vec![]);
     rig.advance(75);
@@ -345,14 +352,14 @@
 }
 
 sandshelf_cases::cases! {
-    least_reading => the_least_reading_counts();
+    smallest_reading => the_smallest_reading_counts();
     first_report => a_first_report_is_under_the_inherited_lease();
-    one_lost_hold => one_lost_hold_marks_nobody();
-    first_roster => the_first_roster_names_the_leases();
-    late_reading => a_late_reading_counts_for_its_time();
-    unlisted_mark => a_mark_outlives_what_is_known_of_its_worker();
-    other_version => rows_before_another_version_say_nothing();
-    named_until_over => longer_leases_are_named_until_they_are_over();
-    unanswered_mark => an_unanswered_workers_mark_names_the_inherited_lease();
-    inherited_mark => an_inherited_mark_is_heeded();
+    one_lost_renewal => one_lost_renewal_causes_no_silence_record();
+    first_roster => the_first_roster_states_the_lease_length();
+    late_reading => a_late_reading_counts_for_its_arrival();
+    unlisted_silence_record => a_silence_record_outlives_the_workers_entry();
+    owner_of_another_version => rows_from_before_another_version_are_ignored();
+    published_until_over => longer_leases_are_published_until_they_are_over();
+    silence_record_of_inherited_lease => a_workers_silence_record_covers_the_inherited_lease();
+    inherited_silence_record => an_inherited_silence_record_is_respected();
 }
--- a/crates/jobs/tests/support/plans.rs
+++ b/crates/jobs/tests/support/plans.rs
@@ -160,7 +160,7 @@
 
 /// Capacity that shrinks and grows on workers that start whatever they are ordered to, while owners
 /// die and the store is unavailable. A reduction below a half can't be known while the store is
-/// out, so capacity never shrinks further.
+/// out, so this plan stops at a half.
 pub fn shrinking_capacity() -> FaultPlan {
     FaultPlan {
         shrinks: 60,
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A new owner and what an earlier one left at work.
+//! A new owner and the runs that an earlier owner left behind.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use sandshelf_model::WorkerId;
 use support::{end_report, job, listing, run_report, step, task, SchedulerRig};
 
-/// An owner of epoch 2, which finds two workers in the roster.
+/// An owner of epoch 2 that finds two workers in the roster.
 fn successor() -> SchedulerRig {
     let roster = ["w-1", "w-2"].map(|name| (WorkerId::from(name), listing(name).address));
     let mut rig = SchedulerRig::new(TakeoverInfo {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A failed run on one worker says nothing of the next run, which another worker may hold.
+/// A failed run on one worker says nothing about the next run, which another worker may have.
 fn an_old_failure_does_not_free_a_task() {
     let mut rig = successor();
     rig.report(
@@ -55,7 +55,7 @@
     );
 }
 
-fn a_task_found_nowhere_starts_once_all_have_answered() {
+fn a_task_that_nobody_reports_starts_once_all_have_answered() {
     let mut rig = successor();
     rig.report("w-1", vec![], vec![]);
     rig.advance(100);
@@ -65,7 +65,7 @@
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A worker that never answers holds the task up only until its lease must have run out.
+/// A worker that never answers holds the task back only until its lease must have expired.
 fn a_silent_worker_is_waited_for_until_its_lease_is_over() {
     let mut rig = successor();
     rig.report("w-1", vec![], vec![]);
@@ -127,7 +127,8 @@
     assert!(!starts.contains(&first.task));
 }
 
-/// Where the store is slow an earlier owner learns late that it was followed: it may start jobs newer than the claim.
+/// If the store is slow, an earlier owner learns late that it was superseded: it may start jobs
+/// that are newer than the claim.
 fn a_job_newer_than_the_claim_waits_for_the_workers() {
     let mut rig = successor();
     rig.hand_in(9, 200, job(vec![step(1)]));
@@ -147,7 +148,7 @@
         .all(|(_, start)| start.key.task != theirs.task));
 }
 
-/// A dead worker must not hold up jobs that come after the takeover.
+/// A dead worker must not delay jobs that arrive after the takeover.
 fn a_new_job_does_not_wait_for_a_dead_worker() {
     let mut rig = successor();
     rig.hand_in(9, 200, job(vec![step(1)]));
@@ -161,7 +162,7 @@
     assert_eq!(tasks, vec![task(9, 0, 0)]);
 }
 
-/// Ends come from the workers in any order: each failed run counts once.
+/// Ends may arrive from the workers in any order: each failed run counts once.
 fn failures_count_in_any_order() {
     let mut rig = successor();
     rig.report(
@@ -190,7 +191,8 @@
     assert_eq!(states.last(), Some(&sandshelf_jobs::JobStage::Failed));
 }
 
-/// A failed run whose end was durable, but not acknowledged, is listed again and not counted again.
+/// A failed run whose end was durable, but not acknowledged, is reported again and not counted
+/// again.
 fn a_failure_that_is_listed_again_counts_once() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(7, 0, job(vec![step(1)]));
@@ -230,7 +232,7 @@
     assert!(failed.max().unwrap_or(1) <= 1);
 }
 
-/// An end of a job whose row has yet to be read must not hide the ends behind it.
+/// An end of a job whose row has not been read yet must not hide the ends behind it.
 fn an_end_of_an_unknown_job_hides_no_other() {
     let mut rig = successor();
     let unknown = RunKey {
@@ -253,7 +255,8 @@
     );
 }
 
-/// An owner that wakes up from a pause may have been followed: it gives no order before it has claimed anew.
+/// An owner that resumes after a pause may have been superseded: it sends no order before it has
+/// claimed the shard again.
 fn a_paused_owner_gives_up() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.advance(100);
@@ -263,7 +266,8 @@
     assert!(rig.actions.contains(&sandshelf_jobs::JobAction::Deposed));
 }
 
-/// While jobs are still being read, their number says nothing: the earlier owner's stands until all are known.
+/// While jobs are still being read their count is not published: the earlier owner's count stays
+/// until all are known.
 fn waiting_jobs_are_counted_once_all_are_known() {
     let mut rig = successor();
     let early = rig.commit_all();
@@ -298,8 +302,9 @@
     assert_eq!(starts[0].0, alive);
 }
 
-/// An owner that ends between the removal of a job's row and that of its progress leaves the progress behind.
-fn progress_without_a_job_is_removed_in_time() {
+/// An owner that ends after it has removed a job's row and before it has removed its progress
+/// leaves the progress behind.
+fn progress_without_a_job_is_removed() {
     let over = ProgressRow {
         stage: JobStage::Completed,
         ..ProgressRow::default()
@@ -318,15 +323,15 @@
 }
 
 sandshelf_cases::cases! {
-    progress_without_job => progress_without_a_job_is_removed_in_time();
+    progress_without_job => progress_without_a_job_is_removed();
     old_failure => an_old_failure_does_not_free_a_task();
-    found_nowhere => a_task_found_nowhere_starts_once_all_have_answered();
+    reported_by_nobody => a_task_that_nobody_reports_starts_once_all_have_answered();
     silent_worker => a_silent_worker_is_waited_for_until_its_lease_is_over();
-    next_step => an_end_seen_first_does_not_free_the_next_step_too_early();
+    end_before_next_step => an_end_seen_first_does_not_free_the_next_step_too_early();
     newer_job => a_job_newer_than_the_claim_waits_for_the_workers();
     newer_job_dead_worker => a_new_job_does_not_wait_for_a_dead_worker();
     failures_in_any_order => failures_count_in_any_order();
-    failure_again => a_failure_that_is_listed_again_counts_once();
+    failure_reported_again => a_failure_that_is_listed_again_counts_once();
     end_of_unknown_job => an_end_of_an_unknown_job_hides_no_other();
     paused_owner => a_paused_owner_gives_up();
     waiting_jobs => waiting_jobs_are_counted_once_all_are_known();
--- a/crates/jobs/tests/tenure_explored.rs
+++ b/crates/jobs/tests/tenure_explored.rs
@@ -1,5 +1,6 @@
-//! Every order, up to a depth, in which the store is out and a hall is cut off one way or both, for an owner and two other hosts: whether the owner
-//! is ever sure for longer than a successor waits.
+//! Model check of ownership: explores all sequences, up to a depth, of store outages and of cuts of
+//! the owner's hall in one or both directions, for an owner and two other hosts. The owner must
+//! never be sure of its ownership for longer than a successor waits.
 
 use sandshelf_jobs::relay::{
     RelayDispatcher, RelayHandshake, RelayMessage, RelayNumber, ShardObservation,
@@ -8,47 +9,49 @@
 use sandshelf_lease::{LeaseTimes, ShardLease, ShardRow, StoredRow};
 use sandshelf_model::{Epoch, HallId, HostId, Millis, WorkerId};
 
-/// How many times what is wrong changes on each path, and for how long it stays.
+/// How many times the outage changes on each path, and how long each one lasts.
 const DEPTH: usize = 7;
-const STAYS_MS: Millis = 400;
+const OUTAGE_MS: Millis = 400;
 const STEP_MS: Millis = 100;
 const SHARD_LEASE_MS: Millis = 1_200;
-/// How often the owner renews and the others read its row; after how long without a renewal, and how often, the others are asked.
-const RENEW_MS: Millis = 400;
+/// How often the owner renews and the others read its row; how long after the last renewal, and how
+/// often, the owner asks the others.
+const RENEWAL_INTERVAL_MS: Millis = 400;
 const ASK_AFTER_MS: Millis = 500;
-const ASK_EVERY_MS: Millis = 200;
-/// How much longer than leases last a successor waits: whatever is ordered within that time of its claim is waited for.
-const SUCCESSOR_WAITS_MS: Millis = 1_000;
+const ASK_INTERVAL_MS: Millis = 200;
+/// How much longer than the leases a successor waits: it accounts for orders that are sent within
+/// that time after its claim.
+const SUCCESSOR_EXTRA_WAIT_MS: Millis = 1_000;
 const EPOCH: Epoch = 7;
 
-/// What is wrong for a while.
+/// An outage that lasts for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Outage {
     None,
-    /// The store serves nobody.
+    /// The store is unavailable to all.
     StoreOut,
-    /// Nothing gets out of the owner's hall, into it, or neither; the store stands outside.
+    /// No message passes out of the owner's hall, into it, or either; the store is outside.
     CutOut,
     CutIn,
     CutBoth,
 }
 
-const TROUBLES: [Trouble; 5] = [
-    Trouble::None,
-    Trouble::StoreOut,
-    Trouble::CutOut,
-    Trouble::CutIn,
-    Trouble::CutBoth,
+const OUTAGES: [Outage; 5] = [
+    Outage::None,
+    Outage::StoreOut,
+    Outage::CutOut,
+    Outage::CutIn,
+    Outage::CutBoth,
 ];
 
-/// What is wrong with a part of the model.
+/// A fault that is planted in a part of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedFault {
     None,
-    /// Hosts say that they don't claim soon, also where they have the row in view.
-    HostsPromiseFalsely,
-    /// The owner takes its ownership for sure as long as any host answers.
-    AnyHostVouches,
+    /// Hosts report that they won't claim soon even if they can read the row.
+    FalseReports,
+    /// The owner considers its ownership sure as long as any host answers.
+    AnyReportSuffices,
 }
 
 /// A host that is not the owner.
@@ -56,12 +59,12 @@
 struct OtherHost {
     lease: ShardLease,
     relay: RelayNumber,
-    /// Whether it stands in the owner's hall.
-    near: bool,
-    /// Questions and answers on their way, with when each arrives at the earliest.
-    questions: Vec<(Millis, u64)>,
+    /// Whether it is in the owner's hall.
+    in_owner_hall: bool,
+    /// Queries and answers in flight, each with the earliest time of its arrival.
+    queries: Vec<(Millis, u64)>,
     answers: Vec<(Millis, u64, ShardObservation)>,
-    troubled: bool,
+    had_outage: bool,
 }
 
 #[derive(Clone)]
@@ -78,8 +81,8 @@
     others: Vec<OtherHost>,
 }
 
-fn hall(near: bool) -> HallId {
-    HallId::from(if near { "north" } else { "south" })
+fn hall(in_owner_hall: bool) -> HallId {
+    HallId::from(if in_owner_hall { "north" } else { "south" })
 }
 
 impl TenureModel {
@@ -90,18 +93,23 @@
             ..ShardRow::default()
         };
         let mut dispatcher = RelayDispatcher::new(EPOCH, 500);
-        let workers = [true, false].map(|near| (WorkerId::from(format!("w-{near}")), hall(near)));
+        let workers = [true, false].map(|in_owner_hall| {
+            (
+                WorkerId::from(format!("w-{in_owner_hall}")),
+                hall(in_owner_hall),
+            )
+        });
         dispatcher.note_workers(workers);
-        let others = [true, false].map(|near| {
-            let host = HostId::from(format!("other-{near}"));
-            let handshake = RelayHandshake::new(host.clone(), hall(near), 120);
+        let others = [true, false].map(|in_owner_hall| {
+            let host = HostId::from(format!("other-{in_owner_hall}"));
+            let handshake = RelayHandshake::new(host.clone(), hall(in_owner_hall), 120);
             OtherHost {
                 lease: ShardLease::new(host, LeaseTimes::derive(SHARD_LEASE_MS, 4_000, 60_000)),
                 relay: dispatcher.join(0, handshake).expect("the same version"),
-                near,
-                questions: Vec::new(),
+                in_owner_hall,
+                queries: Vec::new(),
                 answers: Vec::new(),
-                troubled: false,
+                had_outage: false,
             }
         });
         Self {
@@ -117,30 +125,31 @@
         }
     }
 
-    /// Whether a host's calls to the store get answers.
-    fn is_served(near: bool, trouble: Trouble) -> bool {
-        match trouble {
-            Trouble::None => true,
-            Trouble::StoreOut => false,
-            Trouble::CutOut | Trouble::CutIn | Trouble::CutBoth => !near,
+    /// Whether a host's calls to the store are answered.
+    fn has_store(in_owner_hall: bool, outage: Outage) -> bool {
+        match outage {
+            Outage::None => true,
+            Outage::StoreOut => false,
+            Outage::CutOut | Outage::CutIn | Outage::CutBoth => !in_owner_hall,
         }
     }
 
-    fn renew(&mut self, trouble: Trouble) {
-        if !self.owns || !self.now.is_multiple_of(RENEW_MS) {
+    fn renew(&mut self, outage: Outage) {
+        if !self.owns || !self.now.is_multiple_of(RENEWAL_INTERVAL_MS) {
             return;
         }
-        // Where nothing gets in a write that is under way takes effect, and the owner doesn't hear of it.
-        let arrives = Self::is_served(true, trouble) || trouble == Trouble::CutIn;
+        // If only messages into the hall are blocked, a write takes effect but the owner does not
+        // get the answer.
+        let arrives = Self::has_store(true, outage) || outage == Outage::CutIn;
         if !arrives {
             return;
         }
         if self.stored.row.epoch != EPOCH {
-            self.owns = !Self::is_served(true, trouble);
+            self.owns = !Self::has_store(true, outage);
             return;
         }
-        let heard = Self::is_served(true, trouble);
-        if heard || self.now < self.renewed_at + 2 * RENEW_MS {
+        let heard = Self::has_store(true, outage);
+        if heard || self.now < self.renewed_at + 2 * RENEWAL_INTERVAL_MS {
             self.stored.version += 1;
         }
         if heard {
@@ -149,21 +158,21 @@
         }
     }
 
-    fn step_others(&mut self, trouble: Trouble) {
+    fn step_others(&mut self, outage: Outage) {
         for index in 0..self.others.len() {
             let now = self.now;
             let other = &mut self.others[index];
-            let served = Self::is_served(other.near, trouble);
-            if (now + 200).is_multiple_of(RENEW_MS) {
-                other.troubled = !served;
-                match served {
+            let store_up = Self::has_store(other.in_owner_hall, outage);
+            if (now + 200).is_multiple_of(RENEWAL_INTERVAL_MS) {
+                other.had_outage = !store_up;
+                match store_up {
                     true => _ = other.lease.note_read(now, self.stored.clone()),
                     false => other.lease.return_to_watching(),
                 }
             }
             let free = other.lease.may_claim(now, 0);
             let other_owner = self.stored.row.epoch == EPOCH;
-            if served && free && other_owner {
+            if store_up && free && other_owner {
                 let (version, row) = other.lease.begin_claim(String::new());
                 if version == self.stored.version {
                     self.stored = StoredRow {
@@ -181,72 +190,72 @@
 
     fn ask(&mut self) {
         let due = self.now >= self.renewed_at + ASK_AFTER_MS;
-        if !self.owns || !due || !self.now.is_multiple_of(ASK_EVERY_MS) {
+        if !self.owns || !due || !self.now.is_multiple_of(ASK_INTERVAL_MS) {
             return;
         }
         let until = self.renewed_at + SHARD_LEASE_MS;
-        for (relay, question) in self.dispatcher.ask(self.now, self.renewed_at, until) {
-            let RelayMessage::ShardQuery(_, number) = question else {
-                panic!("{question:?} is no question");
+        for (relay, query) in self.dispatcher.ask(self.now, self.renewed_at, until) {
+            let RelayMessage::ShardQuery(_, number) = query else {
+                panic!("{query:?} is no query");
             };
             let other = self.others.iter_mut().find(|other| other.relay == relay);
-            let other = other.expect("a host that was linked");
-            other.questions.push((self.now, number));
+            let other = other.expect("a connected host");
+            other.queries.push((self.now, number));
         }
     }
 
-    /// Questions and answers arrive where nothing holds them up; what is held up arrives later.
-    fn deliver(&mut self, trouble: Trouble) {
-        let out = !matches!(trouble, Trouble::CutOut | Trouble::CutBoth);
-        let back = !matches!(trouble, Trouble::CutIn | Trouble::CutBoth);
+    /// Delivers queries and answers on paths that are not blocked; blocked ones arrive later.
+    fn deliver(&mut self, outage: Outage) {
+        let out = !matches!(outage, Outage::CutOut | Outage::CutBoth);
+        let back = !matches!(outage, Outage::CutIn | Outage::CutBoth);
         for other in &mut self.others {
-            if other.near || out {
-                for (_, number) in std::mem::take(&mut other.questions) {
-                    if other.troubled && other.lease.last_renewal().is_none() {
+            if other.in_owner_hall || out {
+                for (_, number) in std::mem::take(&mut other.queries) {
+                    if other.had_outage && other.lease.last_renewal().is_none() {
                         other.lease.return_to_watching();
                     }
                     let claims_after_ms = match self.fault {
-                        PlantedFault::HostsPromiseFalsely => SHARD_LEASE_MS,
+                        PlantedFault::FalseReports => SHARD_LEASE_MS,
                         _ => other.lease.claims_after(self.now),
                     };
-                    let sight = ShardObservation {
+                    let observation = ShardObservation {
                         epoch: other.lease.newest_epoch(),
                         claims_after_ms,
                     };
-                    other.answers.push((self.now, number, sight));
+                    other.answers.push((self.now, number, observation));
                 }
             }
-            if other.near || back {
-                for (_, number, sight) in std::mem::take(&mut other.answers) {
-                    let answer = RelayMessage::ShardReply(EPOCH, number, sight);
-                    let intake = self
+            if other.in_owner_hall || back {
+                for (_, number, observation) in std::mem::take(&mut other.answers) {
+                    let answer = RelayMessage::ShardReply(EPOCH, number, observation);
+                    let outcome = self
                         .dispatcher
                         .handle_message(self.now, other.relay, answer);
-                    self.owns &= intake.newer_epoch.is_none();
+                    self.owns &= outcome.newer_epoch.is_none();
                 }
             }
         }
-        let vouched = match self.fault {
-            PlantedFault::AnyHostVouches => Some(self.now + SHARD_LEASE_MS),
+        let unclaimed = match self.fault {
+            PlantedFault::AnyReportSuffices => Some(self.now + SHARD_LEASE_MS),
             _ => self.dispatcher.unclaimed_until(self.now, &hall(true)),
         };
-        if let Some(until) = vouched.filter(|_| self.now >= self.renewed_at + ASK_AFTER_MS) {
+        if let Some(until) = unclaimed.filter(|_| self.now >= self.renewed_at + ASK_AFTER_MS) {
             self.tenure.note_unclaimed(until);
         }
     }
 
-    /// Lets time pass under a trouble; returns whether the owner was sure for too long.
-    fn advance(&mut self, trouble: Trouble) -> bool {
-        let until = self.now + STAYS_MS;
+    /// Advances the clock under an outage; returns whether the owner was sure for too long.
+    fn advance(&mut self, outage: Outage) -> bool {
+        let until = self.now + OUTAGE_MS;
         while self.now < until {
             self.now += STEP_MS;
-            self.renew(trouble);
-            self.step_others(trouble);
+            self.renew(outage);
+            self.step_others(outage);
             self.ask();
-            self.deliver(trouble);
+            self.deliver(outage);
             let claimed = self.claimed_at;
             let too_long =
-                claimed.is_some_and(|at| self.tenure.sure_until() > at + SUCCESSOR_WAITS_MS);
+                claimed.is_some_and(|at| self.tenure.sure_until() > at + SUCCESSOR_EXTRA_WAIT_MS);
             if self.owns && too_long {
                 return true;
             }
@@ -254,24 +263,25 @@
         false
     }
 
-    /// The first path to a depth on which the owner is sure for too long.
-    fn explore(&self, depth: usize, seen: &mut Seen) -> Option<Vec<Trouble>> {
+    /// The first path up to a depth on which the owner is sure for too long.
+    fn explore(&self, depth: usize, counts: &mut PathCounts) -> Option<Vec<Outage>> {
         if depth == 0 {
-            seen.paths += 1;
-            seen.claims += usize::from(self.claimed_at.is_some());
-            // Sure beyond what its renewals say, without any renewal in between: other hosts have vouched.
+            counts.paths += 1;
+            counts.claims += usize::from(self.claimed_at.is_some());
+            // The owner is sure for longer than its last renewal allows: other hosts have confirmed
+            // that nobody claimed.
             let alone = OwnerTenure::new(SHARD_LEASE_MS, self.renewed_at).sure_until();
-            seen.vouched += usize::from(self.tenure.sure_until() > alone);
+            counts.confirmed += usize::from(self.tenure.sure_until() > alone);
             return None;
         }
-        for trouble in TROUBLES {
+        for outage in OUTAGES {
             let mut next = self.clone();
-            let found = match next.advance(trouble) {
+            let found = match next.advance(outage) {
                 true => Some(Vec::new()),
-                false => next.explore(depth - 1, seen),
+                false => next.explore(depth - 1, counts),
             };
             if let Some(mut path) = found {
-                path.insert(0, trouble);
+                path.insert(0, outage);
                 return Some(path);
             }
         }
@@ -279,12 +289,12 @@
     }
 }
 
-/// What all paths showed.
+/// Counts over all paths.
 #[derive(Debug, Default)]
-struct Seen {
+struct PathCounts {
     paths: usize,
     claims: usize,
-    vouched: usize,
+    confirmed: usize,
 }
 
 fn depth() -> usize {
@@ -292,22 +302,23 @@
     named.map_or(DEPTH, |depth| depth.parse().expect("a depth is a number"))
 }
 
-/// On no path is the owner sure for longer than a successor waits, and on many others keep it sure.
+/// On no path is the owner sure for longer than a successor waits, and on many paths other hosts
+/// keep it sure.
 fn holds_on_all_paths() {
-    let mut seen = Seen::default();
-    let broken = TenureModel::new(PlantedFault::None).explore(depth(), &mut seen);
-    println!("{seen:?}");
+    let mut counts = PathCounts::default();
+    let broken = TenureModel::new(PlantedFault::None).explore(depth(), &mut counts);
+    println!("{counts:?}");
     assert_eq!(broken, None);
-    assert!(seen.claims > 0 && seen.vouched > 0, "{seen:?}");
+    assert!(counts.claims > 0 && counts.confirmed > 0, "{counts:?}");
 }
 
-fn is_found(fault: PlantedFault) {
-    let found = TenureModel::new(fault).explore(depth(), &mut Seen::default());
+fn finds_planted_fault(fault: PlantedFault) {
+    let found = TenureModel::new(fault).explore(depth(), &mut PathCounts::default());
     assert!(found.is_some());
 }
 
 sandshelf_cases::cases! {
     all_paths => holds_on_all_paths();
-    finds_false_promises => is_found(PlantedFault::HostsPromiseFalsely);
-    finds_one_voucher_for_all => is_found(PlantedFault::AnyHostVouches);
+    finds_false_reports => finds_planted_fault(PlantedFault::FalseReports);
+    finds_reliance_on_a_single_host => finds_planted_fault(PlantedFault::AnyReportSuffices);
 }
