--- a/crates/jobs/tests/crashes.rs
+++ b/crates/jobs/tests/crashes.rs
@@ -106,13 +106,13 @@
 /// A standing task that crashes its workers is given up; other standing tasks are not.
 fn a_standing_crashing_task_is_given_up() {
     let mut fleet = CrashingFleet::new(8);
-    let stands = StepSpec {
+    let standing = StepSpec {
         standing: true,
         ..step(4)
     };
-    fleet.hand_in(50, job(vec![stands.clone()]), &[]);
+    fleet.hand_in(50, job(vec![standing.clone()]), &[]);
     let crasher = task(51, 0, 2);
-    fleet.hand_in(51, job(vec![stands]), &[(crasher, CRASHES_AFTER_MS)]);
+    fleet.hand_in(51, job(vec![standing]), &[(crasher, CRASHES_AFTER_MS)]);
     advance_with_traffic(&mut fleet, 100..220);
     fleet.advance(6_000);
     assert_given_up(&fleet, &crasher);
@@ -124,11 +124,11 @@
 /// a while in between. The task is never given up, since each run that is cleared clears the task.
 fn a_task_that_is_cleared_in_between_is_never_given_up() {
     let mut fleet = CrashingFleet::new(8);
-    let stands = StepSpec {
+    let standing = StepSpec {
         standing: true,
         ..step(1)
     };
-    fleet.hand_in(50, job(vec![stands]), &[]);
+    fleet.hand_in(50, job(vec![standing]), &[]);
     let unlucky = task(50, 0, 0);
     for crash in 0..12 {
         let before = fleet.start_count(&unlucky);
@@ -174,11 +174,11 @@
 /// A sound task has just started each time that many workers fail at once. Whatever took down the
 /// workers without new tasks took down its worker as well, so the task is never given up.
 fn a_task_started_before_mass_failures_is_never_given_up(mut fleet: CrashingFleet) {
-    let stands = StepSpec {
+    let standing = StepSpec {
         standing: true,
         ..step(1)
     };
-    fleet.hand_in(50, job(vec![stands]), &[]);
+    fleet.hand_in(50, job(vec![standing]), &[]);
     let unlucky = task(50, 0, 0);
     for _ in 0..8 {
         let before = fleet.start_count(&unlucky);
--- a/crates/jobs/tests/duplicate_runs.rs
+++ b/crates/jobs/tests/duplicate_runs.rs
@@ -34,16 +34,16 @@
     for worker in &WORKERS[listed.len()..] {
         rig.report(worker, vec![], vec![]);
     }
-    let wanted: Vec<(String, RunKey)> = WORKERS
+    let expected: Vec<(String, RunKey)> = WORKERS
         .iter()
         .zip(listed)
         .skip(1)
         .map(|(worker, run)| ((*worker).to_owned(), key(*run)))
         .collect();
-    assert_eq!(rig.stops(), wanted);
+    assert_eq!(rig.stops(), expected);
     rig.actions.clear();
     rig.advance(2_000);
-    for stop in &wanted {
+    for stop in &expected {
         assert!(rig.stops().contains(stop), "{stop:?} is not sent again");
     }
     assert!(rig.take_starts().is_empty());
--- a/crates/jobs/tests/emulated.rs
+++ b/crates/jobs/tests/emulated.rs
@@ -141,7 +141,7 @@
 /// No lease expires on a reachable worker, whichever single calls are lost.
 fn keeps_leases_of_reachable_workers(seeds: std::ops::Range<u64>, plan: FaultPlan) {
     let lapses: Vec<(u64, usize)> = seeds
-        .map(|seed| (seed, run_seed(seed, plan).sound_lapses))
+        .map(|seed| (seed, run_seed(seed, plan).lapses_on_reachable_workers))
         .filter(|(_, lapses)| *lapses > 0)
         .collect();
     assert!(
@@ -281,7 +281,7 @@
     crashes_by_hand => long_crash_run();
     capacity_shrinks => keeps_safety_rules(1_300..1_330, shrinking_capacity());
     capacity_by_hand => keeps_safety_rules(named_seeds("SANDSHELF_ROOM_SEEDS", "1:5"), shrinking_capacity());
-    small_capacity_by_hand => keeps_safety_rules(named_seeds("SANDSHELF_SMALL_ROOM_SEEDS", "1:5"), FaultPlan { least_room: 30, ..shrinking_capacity() });
+    small_capacity_by_hand => keeps_safety_rules(named_seeds("SANDSHELF_SMALL_ROOM_SEEDS", "1:5"), FaultPlan { min_capacity_percent: 30, ..shrinking_capacity() });
     workers_restart => keeps_all_rules(1_400..1_430, restarting_workers());
     workers_restart_amid_all_faults => keeps_all_rules(1_500..1_530, restarting_workers_and_all_faults());
     workers_restart_and_owners_die => keeps_safety_rules(1_600..1_630, restarting_workers_and_owners());
@@ -335,8 +335,8 @@
         oracle.started(3_001, &worker("a"), run(0, 1), true);
     });
     oracle_standing_task_away => oracle_reports(BrokenRule::Away, |oracle| {
-        let stands = StepSpec { standing: true, ..step(1) };
-        oracle.accepted(sandshelf_jobs::JobNumber(2), &job(vec![stands]));
+        let standing = StepSpec { standing: true, ..step(1) };
+        oracle.accepted(sandshelf_jobs::JobNumber(2), &job(vec![standing]));
         let room = SoundRoom { under_half: true, calm_ms: 0, free: vec![listing("w-1").capacity; 2] };
         for check in 1..100 {
             oracle.look_for_away(check * 100, 100, &room);
--- a/crates/jobs/tests/relay_agent.rs
+++ b/crates/jobs/tests/relay_agent.rs
@@ -72,7 +72,7 @@
     route(&mut dispatcher, 0, 0, start(1));
     let (_, message) = dispatcher.take_messages(0).pop().expect("orders");
     let mut agent = RelayAgent::new(EPOCH);
-    let again = message.clone();
+    let copy = message.clone();
     assert_eq!(
         agent
             .handle_message(0, message.clone())
@@ -89,7 +89,7 @@
     assert_eq!(sent, Some(answers(vec![(1, OrderAnswer::Done(1).into())])));
     assert_eq!((agent.take_answers(), agent.open_orders()), (None, 0));
     assert_eq!(
-        agent.handle_message(0, again).map(|orders| orders.len()),
+        agent.handle_message(0, copy).map(|orders| orders.len()),
         Ok(0),
         "the order has ended"
     );
--- a/crates/jobs/tests/relay_explored.rs
+++ b/crates/jobs/tests/relay_explored.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// A message arrives at its host; unless `last`, a copy stays in flight and arrives again.
+    /// A message arrives at its host; unless `last_copy`, a copy stays in flight and arrives again.
     fn deliver(&mut self, owner: usize, number: usize, last_copy: bool, fault: PlantedFault) {
         let link = &mut self.owners[owner].links[number];
         let message = link.to_relay[0].clone();
--- a/crates/jobs/tests/silence_records.rs
+++ b/crates/jobs/tests/silence_records.rs
@@ -312,7 +312,7 @@
         run: 11,
     };
     rig.report("w-1", vec![run_report(key)], vec![]);
-    let again = |rig: &SchedulerRig| {
+    let restarted = |rig: &SchedulerRig| {
         let starts = rig.peek_starts();
         starts.iter().any(|(_, start)| start.key.task == key.task)
     };
@@ -320,14 +320,14 @@
         rig.report("w-2", vec![], vec![]);
         rig.fail_renewal("w-1");
         rig.advance(25);
-        assert!(!again(&rig), "started again at {}", rig.now);
+        assert!(!restarted(&rig), "started again at {}", rig.now);
     }
     while rig.now < 13_500 {
         rig.report("w-2", vec![], vec![]);
         rig.fail_renewal("w-1");
         rig.advance(25);
     }
-    assert!(again(&rig));
+    assert!(restarted(&rig));
 }
 
 /// One lost renewal causes no silence record; two in a row do. While the record exists the worker
--- a/crates/jobs/tests/support/emulator/mod.rs
+++ b/crates/jobs/tests/support/emulator/mod.rs
@@ -139,7 +139,7 @@
     /// Tasks that crash their worker, and how many milliseconds after their start.
     crashers: BTreeMap<TaskKey, Millis>,
     /// How many runs lapsed on workers that were reachable for the whole lease.
-    pub sound_lapses: usize,
+    pub lapses_on_reachable_workers: usize,
     /// When the store was last out or no owner was active. Rules with a time bound apply again
     /// `CONTACT_MS` later.
     disturbed_at: Millis,
@@ -171,7 +171,7 @@
             cut: None,
             evacuated: BTreeMap::new(),
             disturbed_at: 0,
-            sound_lapses: 0,
+            lapses_on_reachable_workers: 0,
             crashers: BTreeMap::new(),
         };
         for place in 0..workers {
@@ -283,7 +283,7 @@
             if self.plan.shrinks > 0 && self.chance(self.plan.shrinks) {
                 let whole = self.workers[index].room.is_full();
                 let percent = match whole {
-                    true => self.random.random_range(self.plan.least_room..90),
+                    true => self.random.random_range(self.plan.min_capacity_percent..90),
                     false => 100,
                 };
                 self.workers[index].room.change(self.now, percent);
--- a/crates/jobs/tests/support/emulator/owners.rs
+++ b/crates/jobs/tests/support/emulator/owners.rs
@@ -109,9 +109,9 @@
             // Only the current owner reads the store; a superseded one learns of it from the
             // workers.
             if reachable && epoch == self.epoch {
-                let fresh = self.jobs[owner.seen_jobs..].iter().enumerate();
+                let unseen = self.jobs[owner.seen_jobs..].iter().enumerate();
                 let first = owner.seen_jobs;
-                events.extend(fresh.map(|(index, (number, spec))| match spec {
+                events.extend(unseen.map(|(index, (number, spec))| match spec {
                     Some(spec) => JobEvent::JobListed {
                         number: *number,
                         version: (first + index + 1) as u64,
@@ -195,11 +195,11 @@
             .retain(|owner| outlasts(owner) || now < owner.frozen_until);
     }
 
-    /// A random time below `most`, or 0 where `most` is 0.
-    fn random_below(&mut self, most: Millis) -> Millis {
-        match most {
+    /// A random time below `limit`, or 0 where `limit` is 0.
+    fn random_below(&mut self, limit: Millis) -> Millis {
+        match limit {
             0 => 0,
-            most => self.random.random_range(0..most),
+            limit => self.random.random_range(0..limit),
         }
     }
 
--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -60,8 +60,8 @@
             self.places += 1;
             self.gone.insert(self.workers[index].id.clone());
         }
-        let fresh = self.new_worker(place);
-        let gone = std::mem::replace(&mut self.workers[index], fresh);
+        let replacement = self.new_worker(place);
+        let gone = std::mem::replace(&mut self.workers[index], replacement);
         for (task, run) in gone.runs {
             let key = RunKey { task, run: run.run };
             self.oracle.ended(&gone.id, key, None);
@@ -146,18 +146,18 @@
     pub(super) fn sound_room(&self) -> SoundRoom {
         let capacity = listing("w-1").capacity;
         let cut = self.hall_cut().map(|cut| cut.hall);
-        let sound = |worker: &&EmulatedWorker| {
+        let usable = |worker: &&EmulatedWorker| {
             let up = self.now >= worker.cut_until && self.now >= worker.down_until;
             let up = up && cut != Some(hall_of(worker.place));
             worker.draining_since.is_none() && up
         };
-        let sound: Vec<_> = self.workers.iter().filter(sound).collect();
-        let used = sound.iter().map(|worker| worker.used().cpu_millis);
-        let half = sound.len() as u64 * capacity.cpu_millis / 2;
+        let usable: Vec<_> = self.workers.iter().filter(usable).collect();
+        let used = usable.iter().map(|worker| worker.used().cpu_millis);
+        let half = usable.len() as u64 * capacity.cpu_millis / 2;
         SoundRoom {
             under_half: used.sum::<u64>() < half,
             calm_ms: 0,
-            free: sound
+            free: usable
                 .iter()
                 .map(|worker| capacity.saturating_minus(&worker.used()))
                 .collect(),
@@ -196,10 +196,10 @@
                     Some((*task, outcome?))
                 })
                 .collect();
-            let sound = now > worker.cut_until + CUT_EFFECT_MS;
+            let usable = now > worker.cut_until + CUT_EFFECT_MS;
             let lapses = over.iter().filter(|(_, how)| *how == RunOutcome::Lapsed);
-            if sound {
-                self.sound_lapses += lapses.count();
+            if usable {
+                self.lapses_on_reachable_workers += lapses.count();
             }
             for (task, outcome) in over {
                 let run = worker.runs.remove(&task).expect("it was listed");
--- a/crates/jobs/tests/support/faults.rs
+++ b/crates/jobs/tests/support/faults.rs
@@ -34,7 +34,7 @@
     /// Each second, for each worker: its capacity shrinks, or is full again.
     pub shrinks: u32,
     /// The lowest capacity a worker shrinks to, in percent.
-    pub least_room: u64,
+    pub min_capacity_percent: u64,
     /// Each second, for each worker: it is cut off for some seconds and keeps running.
     pub cuts: u32,
     /// Each second, for each worker: it announces that it drains, and leaves some seconds later.
--- a/crates/jobs/tests/support/plans.rs
+++ b/crates/jobs/tests/support/plans.rs
@@ -164,7 +164,7 @@
 pub fn shrinking_capacity() -> FaultPlan {
     FaultPlan {
         shrinks: 60,
-        least_room: 50,
+        min_capacity_percent: 50,
         deaths: 60,
         hand_overs: 30,
         outages: 60,
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -134,18 +134,18 @@
     rig.hand_in(9, 200, job(vec![step(1)]));
     rig.advance(100);
     assert!(rig.peek_starts().is_empty(), "no worker has answered yet");
-    let theirs = RunKey {
+    let other_run = RunKey {
         task: task(9, 0, 0),
         run: 12,
     };
     rig.report("w-2", vec![], vec![]);
     rig.advance(100);
-    rig.report("w-1", vec![run_report(theirs)], vec![]);
+    rig.report("w-1", vec![run_report(other_run)], vec![]);
     rig.advance(100);
     let started = rig.peek_starts();
     assert!(started
         .iter()
-        .all(|(_, start)| start.key.task != theirs.task));
+        .all(|(_, start)| start.key.task != other_run.task));
 }
 
 /// A dead worker must not delay jobs that arrive after the takeover.
@@ -218,8 +218,8 @@
     });
     next.hand_in(7, 50, job(vec![step(1)]));
     next.list(&["w-1"]);
-    let again = end_report(1, start.key, RunOutcome::Failed);
-    next.report("w-1", vec![], vec![again.clone()]);
+    let reported_again = end_report(1, start.key, RunOutcome::Failed);
+    next.report("w-1", vec![], vec![reported_again.clone()]);
     let rows: Vec<_> = next
         .commit_all()
         .into_iter()
