--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -196,9 +196,9 @@
                     Some((*task, outcome?))
                 })
                 .collect();
-            let usable = now > worker.cut_until + CUT_EFFECT_MS;
+            let reachable = now > worker.cut_until + CUT_EFFECT_MS;
             let lapses = over.iter().filter(|(_, how)| *how == RunOutcome::Lapsed);
-            if usable {
+            if reachable {
                 self.lapses_on_reachable_workers += lapses.count();
             }
             for (task, outcome) in over {
