--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -353,7 +353,7 @@
 
 /// Bytes of one host's news with so many rooms, leaving servers and latency windows.
 pub fn news_bytes(rooms: usize, leaving: usize, windows: usize) -> usize {
-    let mut news = HostNews::silent(HostId::from("entry-1.0123456789abcdef"));
+    let mut news = HostNews::empty(HostId::from("entry-1.0123456789abcdef"));
     news.digest = "0".repeat(64);
     news.rooms = (0..rooms)
         .map(|number| ShardRoom {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use sandshelf_model::HostId;
 //! use sandshelf_peer::HostNews;
-//! let news = HostNews::silent(HostId::from("entry-1.1"));
+//! let news = HostNews::empty(HostId::from("entry-1.1"));
 //! assert_eq!(news.revision, 0);
 //! ```
 
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/news.rs
@@ -34,7 +34,7 @@
 
 impl HostNews {
     /// The news of a host that knows nothing yet.
-    pub fn silent(host: HostId) -> Self {
+    pub fn empty(host: HostId) -> Self {
         Self {
             host,
             view_version: 0,
--- a/crates/sandshelfd/src/jobs/calls.rs
+++ b/crates/sandshelfd/src/jobs/calls.rs
@@ -103,7 +103,7 @@
             JobEvent::PaceAnswered(worker, *key, answer)
         }
         WorkerCall::Renew(hold) => {
-            let answer = client.hold(&worker, address, hold).await;
+            let answer = client.renew(&worker, address, hold).await;
             JobEvent::RenewalAnswered(worker, answer)
         }
     }
