--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -13,34 +13,34 @@
 use crate::list::HostList;
 use crate::table::{ReadRange, TableRow, TableTxn, TxnOutcome};
 
-/// The most bytes of one answer's body: a snapshot takes 100 bytes a task, one of 17,000 workers with 55 tasks each 94 MB.
-const LARGEST_ANSWER_BYTES: usize = 128 * 1024 * 1024;
+/// The largest accepted body of an answer, in bytes. A snapshot takes 100 bytes a task: 94 MB for 17,000 workers with 55 tasks each.
+const MAX_ANSWER_BYTES: usize = 128 * 1024 * 1024;
 
-/// Talks to the platform's table service, object store, host list and workers.
+/// A client of the platform's table service, object store, host list and workers.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: Client,
-    patience: CallTimeout,
-    base: String,
+    timeout: CallTimeout,
+    base_url: String,
 }
 
 impl PlatformClient {
-    /// Makes a client that gives a call up when the service has sent nothing for as long as `silence`.
+    /// Creates a client whose calls fail when the service has sent nothing for `idle_timeout`.
     ///
-    /// Not a limit on whole transfers: objects and tables have any size, and each retry begins from nothing.
+    /// Whole transfers are not limited to that time: objects and tables can have any size, and each retry starts from the first byte.
     ///
     /// # Errors
     /// The HTTP library can't be set up.
-    pub fn new(address: SocketAddr, silence: Duration) -> Result<Self, StoreFault> {
+    pub fn new(address: SocketAddr, idle_timeout: Duration) -> Result<Self, StoreFault> {
         let http = Client::builder().no_proxy().build();
         Ok(Self {
             http: http.map_err(|_| StoreFault::NotSent)?,
-            patience: CallTimeout::Idle(silence),
-            base: format!("http://{address}"),
+            timeout: CallTimeout::Idle(idle_timeout),
+            base_url: format!("http://{address}"),
         })
     }
 
-    /// Reads one row; none where it isn't there.
+    /// Reads one row; `None` if it does not exist.
     ///
     /// # Errors
     /// The service did not answer.
@@ -53,7 +53,7 @@
         Ok(rows.into_iter().next())
     }
 
-    /// Reads the rows of a range, in the order of their keys.
+    /// Reads the rows of a range, in ascending order of their keys.
     ///
     /// # Errors
     /// The service did not answer.
@@ -61,20 +61,20 @@
         self.post("/table/read", range).await
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction.
     ///
     /// # Errors
-    /// The service did not answer; unless the fault says otherwise it may have taken effect.
+    /// The service did not execute the transaction, or did not answer. After [`StoreFault::Unknown`] it may have taken effect.
     pub async fn transact(&self, txn: &TableTxn) -> Result<TxnOutcome, StoreFault> {
         self.post("/table/transact", txn).await
     }
 
-    /// Stores an object under its digest; storing it again changes nothing.
+    /// Stores an object under its digest. Storing it again has no effect.
     ///
     /// # Errors
     /// The service did not answer.
     pub async fn put_object(&self, digest: &str, bytes: Vec<u8>) -> Result<(), StoreFault> {
-        let url = format!("{}/objects/{digest}", self.base);
+        let url = format!("{}/objects/{digest}", self.base_url);
         self.send(self.http.put(url).body(bytes)).await?;
         Ok(())
     }
@@ -82,9 +82,9 @@
     /// Reads an object.
     ///
     /// # Errors
-    /// The service did not answer, or has no such object.
+    /// The service did not answer, or the object does not exist.
     pub async fn get_object(&self, digest: &str) -> Result<Vec<u8>, StoreFault> {
-        let url = format!("{}/objects/{digest}", self.base);
+        let url = format!("{}/objects/{digest}", self.base_url);
         let open = self.send(self.http.get(url)).await?;
         read_body(open).await
     }
@@ -94,14 +94,14 @@
     /// # Errors
     /// The service did not answer.
     pub async fn host_list(&self) -> Result<HostList, StoreFault> {
-        let url = format!("{}/hosts", self.base);
+        let url = format!("{}/hosts", self.base_url);
         read_json(self.send(self.http.get(url)).await?).await
     }
 
-    /// Sends a message to a worker.
+    /// Sends orders to a worker, and returns the worker's report.
     ///
     /// # Errors
-    /// The worker did not answer; it may have taken the message in.
+    /// The worker did not answer. After [`StoreFault::Unknown`] it may have received the orders.
     pub async fn send_orders(
         &self,
         worker: SocketAddr,
@@ -116,19 +116,19 @@
         path: &str,
         body: &I,
     ) -> Result<O, StoreFault> {
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         read_json(self.send(self.http.post(url).json(body)).await?).await
     }
 
-    /// Sends a request and waits for the head of an answer that says it has run.
+    /// Sends a request and waits for the head of its answer. Any status but success is a fault.
     async fn send(&self, request: RequestBuilder) -> Result<OpenAnswer, StoreFault> {
-        let sent = send_call(request, Duration::ZERO, self.patience).await;
-        check_status(sent.map_err(classify)?)
+        let sent = send_call(request, Duration::ZERO, self.timeout).await;
+        check_status(sent.map_err(to_store_fault)?)
     }
 }
 
-/// A call that found no connection was never sent; any other failure leaves its fate open.
-fn classify(fault: TransferFault) -> StoreFault {
+/// A call without a connection was never sent; after any other failure it is unknown whether the call was executed.
+fn to_store_fault(fault: TransferFault) -> StoreFault {
     match fault.is_unsent() {
         true => StoreFault::NotSent,
         false => StoreFault::Unknown,
@@ -145,7 +145,7 @@
 }
 
 async fn read_body(open: OpenAnswer) -> Result<Vec<u8>, StoreFault> {
-    open.read(LARGEST_ANSWER_BYTES).await.map_err(classify)
+    open.read(MAX_ANSWER_BYTES).await.map_err(to_store_fault)
 }
 
 async fn read_json<O: DeserializeOwned>(open: OpenAnswer) -> Result<O, StoreFault> {
--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/fault.rs
@@ -1,17 +1,17 @@
-//! What is known of a call that did not succeed.
+//! Faults of calls to the platform's services.
 
 use std::fmt;
 
-/// Says whether a failed call may have taken effect.
+/// Why a call failed, and whether it may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It was never sent: the service could not be reached.
+    /// The service could not be reached, so the call was never sent.
     NotSent,
-    /// It was sent and no whole answer came; it may have taken effect.
+    /// The call was sent and no complete and valid answer came; it may have taken effect.
     Unknown,
-    /// The service refused it; it did not take effect.
+    /// The service refused the call (HTTP 4xx except 404); it did not take effect.
     Refused,
-    /// What was asked for is not there.
+    /// The requested object or resource does not exist (HTTP 404).
     Missing,
 }
 
--- a/crates/platform/src/keys.rs
+++ b/crates/platform/src/keys.rs
@@ -2,43 +2,43 @@
 
 use sandshelf_model::{HostId, Sequence, ServiceId, ShardId, TaskId, TeamId};
 
-/// A row's place in the table.
+/// The key of a row, or the common prefix of a group of rows (`AllShards`, `InboxOf`, `Quotas`, `Entries`, `Drains`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableKey<'a> {
     /// The configuration in force.
     Head,
-    /// The list of shards, written once.
+    /// The list of all shards, written once.
     Shards,
-    /// The entry hosts that share the backend servers' slots.
+    /// The membership view: the entry hosts that share the backend servers' slots.
     View,
-    /// A shard's owner.
+    /// The row of a shard, which names its owner.
     Shard(&'a ShardId),
-    /// Every shard's owner.
+    /// The rows of all shards.
     AllShards,
-    /// A group of journal records.
+    /// A group of journal records of a shard, by its sequence number.
     Journal(&'a ShardId, Sequence),
-    /// A task on its way to a shard.
+    /// A task that is being handed off to a shard.
     Inbox(&'a ShardId, &'a TaskId),
-    /// Every task on its way to a shard.
+    /// All tasks that are being handed off to a shard.
     InboxOf(&'a ShardId),
-    /// How a team's quota is cut.
+    /// The slices into which a team's quota is divided among the shards.
     Quota(&'a TeamId),
-    /// Every team's cut.
+    /// The quota slices of all teams.
     Quotas,
-    /// An entry host and where it listens.
+    /// An entry host and the addresses at which it listens.
     Entry(&'a HostId),
-    /// Every entry host.
+    /// All entry hosts.
     Entries,
-    /// A worker or an entry host to be emptied.
+    /// A worker or an entry host that is to be drained.
     Drain(&'a str),
-    /// All that is to be emptied.
+    /// All workers and entry hosts that are to be drained.
     Drains,
-    /// A caller's key for a request that must not be repeated.
+    /// The key that a caller gave to a request of a service so that the request is not executed twice.
     Claim(&'a ServiceId, &'a str),
 }
 
 impl TableKey<'_> {
-    /// Returns the key as the table service takes it.
+    /// Returns the key's text in the table service.
     pub fn text(&self) -> String {
         match self {
             TableKey::Head => "head".to_owned(),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! Typed clients for the platform's table service, object store, host list and workers.
 //!
-//! What is assumed of the platform is written down in docs/PLATFORM.md. Every call ends with a [`StoreFault`] that says
-//! whether it may have taken effect.
+//! docs/PLATFORM.md lists the assumptions about the platform. Every failed call returns a [`StoreFault`] that says whether the call
+//! may have taken effect.
 //!
 //! ```
 //! use sandshelf_platform::{RowCheck, TableTxn};
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,77 +1,77 @@
-//! The platform's lagging list of hosts.
+//! The platform's list of hosts, which lags behind the actual state.
 
 use std::net::SocketAddr;
 
 use sandshelf_model::{HallId, RackId, ResourceSize, ServerId, ServiceId, WorkerId};
 use serde::{Deserialize, Serialize};
 
-/// What a host is.
+/// The kind of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostKind {
-    /// A worker, with all that it has and the services that stand on it.
+    /// A worker, with its capacity and the services that have backend servers on it.
     Worker {
-        /// All that it has.
+        /// The total capacity of the worker.
         capacity: ResourceSize,
-        /// The services on it, with what each holds.
+        /// The services on the worker, each with the resources that it takes.
         services: Vec<(ServiceId, ResourceSize)>,
     },
     /// A backend server of a service, on a worker.
     Backend {
-        /// The service.
+        /// The service that the server belongs to.
         service: ServiceId,
-        /// The worker that it stands on.
+        /// The worker on which the server runs.
         worker: WorkerId,
     },
-    /// An entry host's daemon.
+    /// The daemon of an entry host.
     Entry,
 }
 
-/// Whether a host is there.
+/// Whether a host is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It is there.
+    /// The host is available.
     Live,
-    /// It is about to go.
+    /// The host is shutting down.
     Leaving,
-    /// This incarnation is gone and never comes back.
+    /// This incarnation of the host has ended and never returns.
     Gone,
 }
 
-/// One host.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// The name of its incarnation.
+    /// The name of this incarnation of the host.
     pub name: String,
-    /// What it is.
+    /// The kind of the host.
     pub kind: HostKind,
-    /// Its hall.
+    /// The hall in which the host stands.
     pub hall: HallId,
-    /// Its rack.
+    /// The rack in which the host stands.
     pub rack: RackId,
-    /// Where it listens.
+    /// The address at which the host listens.
     pub address: SocketAddr,
-    /// Whether it is there.
+    /// Whether the host is available.
     pub state: HostState,
 }
 
 impl HostEntry {
-    /// The name as a worker's.
+    /// Returns the entry's name as the ID of a worker.
     pub fn worker_id(&self) -> WorkerId {
         WorkerId::from(self.name.as_str())
     }
 
-    /// The name as a backend server's.
+    /// Returns the entry's name as the ID of a backend server.
     pub fn server_id(&self) -> ServerId {
         ServerId::from(self.name.as_str())
     }
 }
 
-/// The list as of some time; a later one has a higher `as_of`.
+/// One version of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Grows with each change; an older list may still be served.
+    /// The version of the list, which grows with each change. The platform may still return an older list than before.
     pub as_of: u64,
     /// The hosts.
     pub hosts: Vec<HostEntry>,
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -1,24 +1,24 @@
-//! Rows that entry hosts and the operators' command share.
+//! Rows that are used by both the entry hosts and the operators' command.
 
 use std::net::SocketAddr;
 
 use sandshelf_model::{HallId, HostId, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// An entry host and where it listens.
+/// An entry host and the addresses at which it listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
-    /// The daemon's incarnation.
+    /// The incarnation of the entry host's daemon.
     pub host: HostId,
-    /// The entry host's name in its settings.
+    /// The name of the entry host in its settings.
     pub name: String,
-    /// Its hall.
+    /// The hall in which the entry host stands.
     pub hall: HallId,
-    /// For callers.
+    /// The address for callers.
     pub caller: SocketAddr,
-    /// For operators and health checks.
+    /// The address for operators and health checks.
     pub operator: SocketAddr,
-    /// For other entry hosts.
+    /// The address for other entry hosts.
     pub peer: SocketAddr,
 }
 
@@ -27,11 +27,11 @@
 pub struct ShardPlace {
     /// The shard.
     pub shard: ShardId,
-    /// The hall whose workers it holds.
+    /// The hall whose workers belong to the shard.
     pub hall: HallId,
 }
 
-/// Every shard; written once, by the first host that sees workers.
+/// The list of all shards, written once, by the first entry host that sees workers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardMap {
     /// The shards.
--- a/crates/platform/src/shard_store.rs
+++ b/crates/platform/src/shard_store.rs
@@ -1,4 +1,4 @@
-//! How a shard's row, journal and inbox stand in the table.
+//! Maps a shard's row, journal and inbox to rows of the table.
 
 use sandshelf_lease::{CommitRequest, JournalRecord, ShardRow, StoredRow};
 use sandshelf_model::{Sequence, ShardId};
@@ -6,16 +6,16 @@
 use crate::keys::TableKey;
 use crate::table::{ReadRange, RowCheck, TableRow, TableTxn};
 
-/// Makes the transaction of a commit: conditional on the shard's row, with the journal group,
-/// the inbox entries that its records put or take, and the journal rows that a snapshot covers.
+/// Returns the transaction of a commit. It is conditional on the version of the shard's row. It writes that row and the group of
+/// journal records, adds and removes the inbox entries that the records name, and deletes the journal rows that a snapshot covers.
 pub fn commit_transaction(shard: &ShardId, request: &CommitRequest) -> TableTxn {
     let row_key = TableKey::Shard(shard).text();
     let mut txn = TableTxn::new(&request.row.token)
         .check(RowCheck::new(&row_key, request.expect))
-        .put(&row_key, &to_text(&request.row));
+        .put(&row_key, &to_json(&request.row));
     if !request.records.is_empty() {
         let key = TableKey::Journal(shard, request.row.sequence).text();
-        txn = txn.put(&key, &to_text(&request.records));
+        txn = txn.put(&key, &to_json(&request.records));
     }
     for record in &request.records {
         txn = add_inbox_change(txn, shard, record);
@@ -30,7 +30,7 @@
     match record {
         JournalRecord::HandedOff { to, handoff } => {
             let key = TableKey::Inbox(to, &handoff.task()).text();
-            txn.put(&key, &to_text(handoff))
+            txn.put(&key, &to_json(handoff))
         }
         JournalRecord::Adopted { handoff } => {
             txn.delete(&TableKey::Inbox(shard, &handoff.task()).text())
@@ -40,10 +40,10 @@
     }
 }
 
-/// Reads a shard's row; a row that isn't there counts as one without an owner.
+/// Decodes a shard's row. A missing row counts as a shard without an owner, at version 0.
 ///
 /// # Errors
-/// The row's text is not a shard's row.
+/// The row's value is not the JSON of a shard's row.
 pub fn read_shard_row(row: Option<&TableRow>) -> Result<StoredRow, serde_json::Error> {
     let Some(row) = row else {
         return Ok(StoredRow {
@@ -57,7 +57,7 @@
     })
 }
 
-/// The journal rows after one sequence, up to and with another.
+/// Returns the range of the journal rows after sequence `after` (exclusive) up to `to` (inclusive).
 pub fn journal_range(shard: &ShardId, after: Sequence, to: Sequence) -> ReadRange {
     ReadRange {
         from: TableKey::Journal(shard, after + 1).text(),
@@ -65,16 +65,16 @@
     }
 }
 
-/// Reads one journal row.
+/// Decodes a journal row into its sequence number and its records. A key without a valid number gives sequence 0.
 ///
 /// # Errors
-/// The row's text is not a group of records.
+/// The row's value is not the JSON of a group of journal records.
 pub fn read_group(row: &TableRow) -> Result<(Sequence, Vec<JournalRecord>), serde_json::Error> {
     let digits = row.key.rsplit('/').next().unwrap_or_default();
     let sequence = digits.parse().unwrap_or_default();
     Ok((sequence, serde_json::from_str(&row.value)?))
 }
 
-fn to_text<T: serde::Serialize>(value: &T) -> String {
+fn to_json<T: serde::Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("plain values always serialize")
 }
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,29 +1,29 @@
-//! The table service's rows and transactions.
+//! Rows, transactions and reads of the table service.
 
 use serde::{Deserialize, Serialize};
 
-/// A row as read.
+/// A row as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRow {
     /// The row's key.
     pub key: String,
-    /// Grows with each write of the row, also over a deletion; 0 stands for a row that isn't there.
+    /// Grows with each write of the row, also across a deletion; 0 means that the row does not exist.
     pub version: u64,
     /// The row's value.
     pub value: String,
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction: a row must have a given version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCheck {
     /// The row's key.
     pub key: String,
-    /// The version that it has to have; 0 where it must not be there.
+    /// The required version; 0 if the row must not exist.
     pub version: u64,
 }
 
 impl RowCheck {
-    /// Asks for a version of a row.
+    /// Requires that the row `key` has `version`.
     pub fn new(key: &str, version: u64) -> Self {
         Self {
             key: key.to_owned(),
@@ -32,30 +32,30 @@
     }
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowPut {
     /// The row's key.
     pub key: String,
-    /// Its new value.
+    /// The row's new value.
     pub value: String,
 }
 
-/// A transaction: it takes effect whole, and only where every condition holds.
+/// An atomic transaction: it takes effect only if all its conditions hold, and then completely.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableTxn {
-    /// Unique to the write.
+    /// A text that is unique to this transaction.
     pub token: String,
-    /// Conditions.
+    /// The conditions.
     pub checks: Vec<RowCheck>,
-    /// Rows to be written.
+    /// The rows to write.
     pub puts: Vec<RowPut>,
-    /// Rows to be deleted, where they are there.
+    /// The keys of the rows to delete; missing rows are ignored.
     pub deletes: Vec<String>,
 }
 
 impl TableTxn {
-    /// Starts an empty transaction.
+    /// Creates an empty transaction.
     pub fn new(token: &str) -> Self {
         Self {
             token: token.to_owned(),
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Adds a row to be written.
+    /// Adds a row to write.
     pub fn put(mut self, key: &str, value: &str) -> Self {
         self.puts.push(RowPut {
             key: key.to_owned(),
@@ -78,34 +78,34 @@
         self
     }
 
-    /// Adds a row to be deleted.
+    /// Adds a row to delete.
     pub fn delete(mut self, key: &str) -> Self {
         self.deletes.push(key.to_owned());
         self
     }
 }
 
-/// What came of a transaction that was answered.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TxnOutcome {
-    /// It took effect; the versions are of the rows written, in order.
+    /// The transaction took effect. The new versions of the written rows, in the order of the writes.
     Committed(Vec<u64>),
-    /// A condition did not hold; nothing was changed. Lists the rows of the conditions as they are.
+    /// A condition did not hold, so nothing was changed. The current state of the rows that have conditions.
     Conflict(Vec<TableRow>),
 }
 
-/// Which rows to read.
+/// A range of keys to read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRange {
-    /// The first key.
+    /// The first key (inclusive).
     pub from: String,
-    /// The last key, which is read, too.
+    /// The last key (inclusive).
     pub to: String,
 }
 
 impl ReadRange {
-    /// The rows whose keys start with `prefix`.
+    /// Returns the range of all keys that start with `prefix`.
     pub fn prefix(prefix: &str) -> Self {
         Self {
             from: prefix.to_owned(),
