--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls another entry host.
+//! Client for calls to another entry host.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 
 use crate::news::HostNews;
 use crate::peer_capnp::entry_peer;
-use crate::silence::{ByteMeter, MeteredRead};
+use crate::silence::{ByteCounter, CountedRead};
 
-/// Says that a peer did not answer; nothing that it could have done depends on it.
+/// Why a call to a peer has no answer. Nothing depends on whether the peer executed such a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFault {
-    /// It can't be reached.
+    /// The peer can't be reached.
     Unreachable,
-    /// It did not answer in time, or broke the connection off.
+    /// The peer did not answer in time, closed the connection, or sent an invalid answer.
     NoAnswer,
 }
 
@@ -34,11 +34,11 @@
 
 impl std::error::Error for PeerFault {}
 
-/// A connection to another entry host; has to be used within a `LocalSet`.
+/// A connection to another entry host. It must be used within a `LocalSet`.
 pub struct PeerClient {
     peer: entry_peer::Client,
-    patience: Duration,
-    meter: ByteMeter,
+    idle_timeout: Duration,
+    counter: ByteCounter,
     task: JoinHandle<Result<(), capnp::Error>>,
 }
 
@@ -49,20 +49,20 @@
 }
 
 impl PeerClient {
-    /// Connects; `patience` bounds this, and how long the host may send nothing in a call.
+    /// Connects to a host. `idle_timeout` limits the time to connect, and in each call the time without data from the host.
     ///
     /// # Errors
     /// The host can't be reached in time.
-    pub async fn connect(address: SocketAddr, patience: Duration) -> Result<Self, PeerFault> {
-        let connected = timeout(patience, TcpStream::connect(address)).await;
+    pub async fn connect(address: SocketAddr, idle_timeout: Duration) -> Result<Self, PeerFault> {
+        let connected = timeout(idle_timeout, TcpStream::connect(address)).await;
         let stream = connected
             .map_err(|_| PeerFault::Unreachable)?
             .map_err(|_| PeerFault::Unreachable)?;
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
-        let meter = ByteMeter::default();
+        let counter = ByteCounter::default();
         let network = VatNetwork::new(
-            futures::io::BufReader::new(MeteredRead::new(read, meter.clone()).compat()),
+            futures::io::BufReader::new(CountedRead::new(read, counter.clone()).compat()),
             futures::io::BufWriter::new(write.compat_write()),
             Side::Client,
             Default::default(),
@@ -72,21 +72,24 @@
         let task = tokio::task::spawn_local(system);
         Ok(Self {
             peer,
-            patience,
-            meter,
+            idle_timeout,
+            counter,
             task,
         })
     }
 
-    /// Tells the host what is known here and returns what it knows.
+    /// Sends this host's update to the other host and returns the other host's update.
     ///
     /// # Errors
-    /// The host did not answer.
+    /// The host did not answer, or sent an invalid answer.
     pub async fn exchange(&self, news: &HostNews) -> Result<HostNews, PeerFault> {
         let mut request = self.peer.exchange_request();
         news.write(request.get().init_news());
         let sent = request.send().promise;
-        let answer = self.meter.until_silent(self.patience, sent).await;
+        let answer = self
+            .counter
+            .with_idle_timeout(self.idle_timeout, sent)
+            .await;
         let answer = answer.ok_or(PeerFault::NoAnswer)?;
         let answer = answer.map_err(|_| PeerFault::NoAnswer)?;
         let read = answer
@@ -96,15 +99,18 @@
         read.map_err(|_| PeerFault::NoAnswer)
     }
 
-    /// Asks for a configuration's bytes.
+    /// Requests the bytes of the configuration with the given digest; `None` if the host does not have it.
     ///
     /// # Errors
-    /// The host did not answer.
+    /// The host did not answer, or sent an invalid answer.
     pub async fn configuration(&self, digest: &str) -> Result<Option<Vec<u8>>, PeerFault> {
         let mut request = self.peer.configuration_request();
         request.get().set_digest(digest);
         let sent = request.send().promise;
-        let answer = self.meter.until_silent(self.patience, sent).await;
+        let answer = self
+            .counter
+            .with_idle_timeout(self.idle_timeout, sent)
+            .await;
         let answer = answer.ok_or(PeerFault::NoAnswer)?;
         let answer = answer.map_err(|_| PeerFault::NoAnswer)?;
         let results = answer.get().map_err(|_| PeerFault::NoAnswer)?;
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Exchange between entry hosts over capnp-rpc.
+//! Exchange of state between entry hosts over capnp-rpc.
 //!
-//! Each exchange is one call in which both sides tell what they know ([`HostNews`]).
-//! It runs on one thread, the control thread of each daemon.
+//! Each exchange is one call in which both sides send their current state ([`HostNews`]).
+//! Client and server run on one thread, the control thread of the daemon.
 //!
 //! ```
 //! use sandshelf_model::HostId;
--- a/crates/peer/src/news.rs
+++ b/crates/peer/src/news.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell each other, as typed values.
+//! The state that entry hosts send each other, and its encoding as capnp messages.
 
 use capnp::Error;
 use sandshelf_lease::ShardRoom;
@@ -8,32 +8,32 @@
 
 use crate::peer_capnp::{host_news, latency_window, shard_room};
 
-/// Bytes of one word of a message.
+/// The size of one word of a capnp message, in bytes.
 const WORD_BYTES: usize = 8;
 
-/// What one entry host knows.
+/// The state of one entry host, as it sends it to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostNews {
-    /// The host that tells it.
+    /// The host that sends the update.
     pub host: HostId,
-    /// The view of the slots that it uses; it uses no older one.
+    /// The version of the newest membership view that the host knows; the host uses no older one. 0 without a view.
     pub view_version: u64,
-    /// The configuration in force there.
+    /// The revision of the configuration in force on the host.
     pub revision: Revision,
-    /// That configuration's digest.
+    /// The digest of that configuration.
     pub digest: String,
-    /// Backend servers that it knows to be leaving.
+    /// The backend servers that the host knows to be leaving.
     pub leaving: Vec<ServerId>,
-    /// Room in the shards that it owns.
+    /// The free and total capacity of the shards that the host owns.
     pub rooms: Vec<ShardRoom>,
-    /// Whether it is stopping, and wants no shard.
+    /// Whether the host is stopping and takes over no shards.
     pub stopping: bool,
-    /// What it saw of latency within the last whole second.
+    /// The latencies that the host observed within the last complete second.
     pub latencies: Vec<LatencyWindow>,
 }
 
 impl HostNews {
-    /// The news of a host that knows nothing yet.
+    /// Returns the update of a host that has no state yet.
     pub fn empty(host: HostId) -> Self {
         Self {
             host,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// The bytes that the news takes on the wire, without the call around it.
+    /// Returns the encoded size of the update in bytes, without the call around it.
     pub fn encoded_len(&self) -> usize {
         let mut message = capnp::message::Builder::new_default();
         self.write(message.init_root());
         capnp::serialize::compute_serialized_size_in_words(&message) * WORD_BYTES
     }
 
-    /// Writes the news into a message.
+    /// Encodes the update into a message.
     pub(crate) fn write(&self, mut builder: host_news::Builder<'_>) {
         builder.set_host(self.host.as_str());
         builder.set_view_version(self.view_version);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads the news out of a message.
+    /// Decodes the update from a message.
     pub(crate) fn read(reader: host_news::Reader<'_>) -> Result<Self, Error> {
         let mut leaving = Vec::new();
         for server in reader.get_leaving()?.iter() {
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers the other entry hosts.
+//! Serves the calls of other entry hosts.
 
 use std::rc::Rc;
 
@@ -10,12 +10,12 @@
 use crate::news::HostNews;
 use crate::peer_capnp::entry_peer;
 
-/// What a daemon does about other hosts' calls.
+/// How a daemon answers the calls of other entry hosts.
 pub trait PeerHandler: 'static {
-    /// Takes in a host's news and tells one's own.
+    /// Applies another host's update and returns this host's.
     fn exchange(&self, news: HostNews) -> HostNews;
 
-    /// Returns a configuration's bytes, where this host has them.
+    /// Returns the bytes of the configuration with the given digest, if this host has them.
     fn configuration(&self, digest: &str) -> Option<Vec<u8>>;
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Serves other entry hosts for as long as the process lives; has to run within a `LocalSet`.
+/// Serves other entry hosts and never returns. It must run within a `LocalSet`.
 pub async fn serve_peers<H: PeerHandler>(listener: TcpListener, handler: Rc<H>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/peer/src/silence.rs
+++ b/crates/peer/src/silence.rs
@@ -1,4 +1,4 @@
-//! Tells a peer that has fallen silent from one whose answer takes long on its link.
+//! Idle timeout of calls: distinguishes a silent peer from one whose answer takes long on a slow link.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -11,24 +11,25 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::time::timeout;
 
-/// How many bytes have come over a connection.
+/// The number of bytes received over a connection so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ByteMeter(Rc<Cell<u64>>);
+pub(crate) struct ByteCounter(Rc<Cell<u64>>);
 
-impl ByteMeter {
-    /// Waits for an answer until the peer has sent nothing for as long as `patience`; none where it has. Looked at once in each
-    /// `patience`, so that silence is noticed after two of them at the latest.
+impl ByteCounter {
+    /// Waits for an answer. Returns `None` once the peer has sent nothing for `idle_timeout`. The received bytes are checked once per
+    /// `idle_timeout`, so silence is detected after twice that time at the latest.
     ///
-    /// Not a limit on the whole answer: a configuration of 1 MB takes 0.8 s over 10 Mbit/s, and each try would begin from nothing.
-    pub(crate) async fn until_silent<T>(
+    /// The whole answer is not limited to that time: a configuration of 1 MB takes 0.8 s over 10 Mbit/s, and each retry would start
+    /// from the first byte.
+    pub(crate) async fn with_idle_timeout<T>(
         &self,
-        patience: Duration,
+        idle_timeout: Duration,
         answer: impl Future<Output = T>,
     ) -> Option<T> {
         let mut answer = pin!(answer);
         loop {
             let before = self.0.get();
-            match timeout(patience, &mut answer).await {
+            match timeout(idle_timeout, &mut answer).await {
                 Ok(answer) => return Some(answer),
                 Err(_) if self.0.get() == before => return None,
                 Err(_) => {}
@@ -37,21 +38,21 @@
     }
 }
 
-/// The reading side of a connection, metered.
+/// The read half of a connection, with a count of the bytes read.
 #[derive(Debug)]
-pub(crate) struct MeteredRead<R> {
+pub(crate) struct CountedRead<R> {
     inner: R,
-    meter: ByteMeter,
+    counter: ByteCounter,
 }
 
-impl<R> MeteredRead<R> {
-    /// Meters what is read from `inner`.
-    pub(crate) fn new(inner: R, meter: ByteMeter) -> Self {
-        Self { inner, meter }
+impl<R> CountedRead<R> {
+    /// Wraps `inner` and adds each byte read to `counter`.
+    pub(crate) fn new(inner: R, counter: ByteCounter) -> Self {
+        Self { inner, counter }
     }
 }
 
-impl<R: AsyncRead + Unpin> AsyncRead for MeteredRead<R> {
+impl<R: AsyncRead + Unpin> AsyncRead for CountedRead<R> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -60,8 +61,8 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.inner).poll_read(context, buffer);
         let count = buffer.filled().len() - before;
-        let meter = &self.meter.0;
-        meter.set(meter.get() + count as u64);
+        let counter = &self.counter.0;
+        counter.set(counter.get() + count as u64);
         read
     }
 }
--- a/crates/peer/tests/slow_links.rs
+++ b/crates/peer/tests/slow_links.rs
@@ -1,10 +1,9 @@
-//! A configuration that comes from another entry host over a thin link.
+//! Reading a configuration from another entry host over a slow link.
 //!
-//! What users would see: a host that can't reach the object store never has the configuration that the others have. Order of
-//! events: it asks another host for it, the answer takes longer than the patience of the call, and each further question begins
-//! from nothing. Cause: the time limit covered the whole of the answer.
-//! Evidence: over a link that passes a piece on in each fifth of the patience the call ended after exactly its patience, with
-//! nothing.
+//! Guards against a timeout that covers the whole answer. A host that can't reach the object store requests the configuration from
+//! another host. If the answer takes longer than such a timeout, the call is aborted and each retry starts from the first byte, so
+//! the host never gets the configuration that the others have. Over a link that forwards a piece in each fifth of the timeout, the
+//! call ended exactly at its timeout, without a result.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,13 +17,13 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// How long the other host may be silent.
-const PATIENCE: Duration = Duration::from_millis(200);
-/// The gap between two pieces of an answer.
-const GAP: Duration = Duration::from_millis(40);
-/// The size of a piece.
+/// The longest time without data from the other host.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// The pause between two pieces of an answer.
+const PIECE_PAUSE: Duration = Duration::from_millis(40);
+/// The size of a piece in bytes.
 const PIECE_BYTES: usize = 64 * 1024;
-/// The size of the configuration: 16 pieces, which take three times the patience.
+/// The size of the configuration in bytes: 16 pieces, which take three times the idle timeout.
 const CONFIGURATION_BYTES: usize = 16 * PIECE_BYTES;
 
 /// A host that has a configuration.
@@ -40,12 +39,12 @@
     }
 }
 
-/// What a link does with answers.
+/// How a link forwards answers.
 #[derive(Clone, Copy)]
 enum LinkKind {
-    /// Passes a piece on in each gap.
-    Thin,
-    /// Passes one piece on and no more.
+    /// Forwards one piece, then pauses, and so on.
+    Slow,
+    /// Forwards one piece, then nothing, and keeps the connection open.
     SilentMidway,
 }
 
@@ -56,7 +55,7 @@
     address
 }
 
-/// Starts a link to a host, for one connection.
+/// Starts a link that forwards one connection to a host.
 async fn start_link(target: SocketAddr, kind: LinkKind) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -68,10 +67,10 @@
         spawn_local(async move { copy(&mut near_in, &mut far_out).await });
         let mut piece = vec![0; PIECE_BYTES];
         while let Ok(count @ 1..) = far_in.read(&mut piece).await {
-            // The case is over where the near side has gone away.
+            // Writing only fails after the test has closed its side of the connection.
             let _ = near_out.write_all(&piece[..count]).await;
             match kind {
-                LinkKind::Thin => sleep(GAP).await,
+                LinkKind::Slow => sleep(PIECE_PAUSE).await,
                 LinkKind::SilentMidway => std::future::pending().await,
             }
         }
@@ -79,39 +78,39 @@
     address
 }
 
-async fn ask_over(kind: LinkKind) -> Result<Option<usize>, PeerFault> {
+async fn request_over(kind: LinkKind) -> Result<Option<usize>, PeerFault> {
     let link = start_link(start_host().await, kind).await;
-    let peer = PeerClient::connect(link, PATIENCE).await?;
+    let peer = PeerClient::connect(link, IDLE_TIMEOUT).await?;
     let bytes = peer.configuration("digest").await?;
     Ok(bytes.map(|bytes| bytes.len()))
 }
 
 async fn a_slow_configuration_arrives() {
     assert_eq!(
-        ask_over(LinkKind::Thin).await,
+        request_over(LinkKind::Slow).await,
         Ok(Some(CONFIGURATION_BYTES))
     );
 }
 
-async fn a_silent_peer_is_given_up() {
+async fn a_silent_peer_times_out() {
     let began = Instant::now();
     assert_eq!(
-        ask_over(LinkKind::SilentMidway).await,
+        request_over(LinkKind::SilentMidway).await,
         Err(PeerFault::NoAnswer)
     );
     let took = began.elapsed();
-    assert!(took < PATIENCE * 3, "{took:?}");
+    assert!(took < IDLE_TIMEOUT * 3, "{took:?}");
 }
 
 fn block_on(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime can be had");
+    let runtime = runtime.expect("the runtime starts");
     LocalSet::new().block_on(&runtime, test);
 }
 
 cases! {
     peer_slow_configuration => block_on(a_slow_configuration_arrives());
-    peer_silent_midway => block_on(a_silent_peer_is_given_up());
+    peer_silent_midway => block_on(a_silent_peer_times_out());
 }
