--- a/crates/sandshelfd/src/backend.rs
+++ b/crates/sandshelfd/src/backend.rs
@@ -16,7 +16,7 @@
 /// What that header says where the server is leaving.
 const REFUSED_LEAVING: &str = "leaving";
 /// Idle connections that are kept to one server.
-const IDLE_CONNECTIONS: usize = 6;
+const MAX_IDLE_CONNECTIONS: usize = 6;
 
 /// A caller's request as it is sent on.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
     Client::builder()
         .redirect(Policy::none())
         .no_proxy()
-        .pool_max_idle_per_host(IDLE_CONNECTIONS)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .tcp_nodelay(true)
         .build()
 }
@@ -79,7 +79,7 @@
     client: &Client,
     server: SocketAddr,
     request: &CallerRequest,
-    patience: Duration,
+    timeout: Duration,
     max_body: u64,
 ) -> (AttemptResult, Millis) {
     let began = SteadyInstant::now();
@@ -88,11 +88,11 @@
         .request(request.method.clone(), url)
         .headers(request.headers.clone())
         .body(request.body.clone())
-        .timeout(patience)
+        .timeout(timeout)
         .send()
         .await;
     let result = match sent {
-        Ok(response) => take_answer(response, max_body).await,
+        Ok(response) => read_answer(response, max_body).await,
         Err(error) if error.is_connect() => Err(AttemptEnd::NotRun),
         Err(error) if error.is_builder() => Err(AttemptEnd::NotRun),
         Err(_) => Err(AttemptEnd::MayHaveRun),
@@ -100,7 +100,7 @@
     (result, began.elapsed().as_millis() as Millis)
 }
 
-async fn take_answer(mut response: reqwest::Response, max_body: u64) -> AttemptResult {
+async fn read_answer(mut response: reqwest::Response, max_body: u64) -> AttemptResult {
     if let Some(end) = refusal_of(response.status(), response.headers()) {
         return Err(end);
     }
--- a/crates/sandshelfd/src/claim.rs
+++ b/crates/sandshelfd/src/claim.rs
@@ -15,7 +15,7 @@
     /// Another request holds the key; it may have run.
     Taken,
     /// The store did not answer: the request is not run.
-    StoreOut,
+    StoreUnavailable,
 }
 
 /// A claimed key.
@@ -55,16 +55,16 @@
                 };
             }
             // The same conditional write may be sent again: at most one of the two takes effect.
-            Err(_) => continue_after_fault().await,
+            Err(_) => pause_before_retry().await,
         }
     }
-    ClaimOutcome::StoreOut
+    ClaimOutcome::StoreUnavailable
 }
 
 /// Waits a little, so that a store that is down is not asked in a tight loop.
-async fn continue_after_fault() {
-    const PAUSE_MS: u64 = 50;
-    tokio::time::sleep(std::time::Duration::from_millis(PAUSE_MS)).await;
+async fn pause_before_retry() {
+    const RETRY_PAUSE_MS: u64 = 50;
+    tokio::time::sleep(std::time::Duration::from_millis(RETRY_PAUSE_MS)).await;
 }
 
 /// Gives a key back after its request was certainly not run, so that the caller may use it again.
--- a/crates/sandshelfd/src/clock.rs
+++ b/crates/sandshelfd/src/clock.rs
@@ -14,7 +14,7 @@
 const STEADY_CLOCK: ClockId = ClockId::Boottime;
 
 /// When the process began, on that clock.
-static BEGAN: LazyLock<Duration> = LazyLock::new(steady);
+static PROCESS_START: LazyLock<Duration> = LazyLock::new(steady);
 
 /// Starts at 1, so that 0 can stand for "never".
 const FIRST_MS: Millis = 1;
@@ -43,7 +43,7 @@
 
 /// Milliseconds since the process began, those in which the host was suspended included.
 pub fn now() -> Millis {
-    steady().saturating_sub(*BEGAN).as_millis() as Millis + FIRST_MS
+    steady().saturating_sub(*PROCESS_START).as_millis() as Millis + FIRST_MS
 }
 
 /// The time of day, in milliseconds since 1970; 0 before that.
--- a/crates/sandshelfd/src/control.rs
+++ b/crates/sandshelfd/src/control.rs
@@ -1,6 +1,6 @@
-//! The control thread: membership, configuration, shards, and what the traffic threads are told.
+//! The control thread: membership, configuration, shard ownership, and the view that the traffic threads use.
 //!
-//! All control state lives here and is touched by this thread alone. Calls to the platform, to workers and to
+//! All control state is owned and accessed by this thread alone. Calls to the platform, to workers and to
 //! other entry hosts run as local tasks whose results come back as [`ControlEvent`]s.
 
 mod explain;
@@ -38,79 +38,80 @@
 use crate::logging::event;
 use crate::operator::{ExplainQuestion, OperatorShared};
 use crate::peers::PeerLinks;
-use crate::traffic::{LatencySeen, TrafficShared};
+use crate::traffic::{LatencySample, TrafficShared};
 
-/// How often the head of the configuration is read.
-const HEAD_EVERY_MS: Millis = 500;
-/// How often the platform's host list is read.
-const LIST_EVERY_MS: Millis = 1_000;
-/// How often the rows that entry hosts share are read.
-const ROWS_EVERY_MS: Millis = 2_000;
-/// How often the cuts of the teams' quotas are read.
-const QUOTAS_EVERY_MS: Millis = 300;
-/// How often news is exchanged with other entry hosts.
-const PEERS_EVERY_MS: Millis = 500;
-/// The most other entry hosts that are told at a time.
-const PEERS_AT_A_TIME: usize = 8;
-/// How often status and room are published.
-const PUBLISH_EVERY_MS: Millis = 500;
-/// How often latencies are judged; also the length of their window.
-const JUDGE_EVERY_MS: Millis = 1_000;
+/// The interval between reads of the configuration's head row.
+const HEAD_READ_INTERVAL_MS: Millis = 500;
+/// The interval between reads of the platform's host list.
+const LIST_READ_INTERVAL_MS: Millis = 1_000;
+/// The interval between reads of the rows that all entry hosts share ([`SharedRows`]).
+const ROWS_READ_INTERVAL_MS: Millis = 2_000;
+/// The interval between reads of the teams' quota rows, which hold each shard's slice.
+const QUOTAS_READ_INTERVAL_MS: Millis = 300;
+/// The interval between exchanges of [`HostNews`] with other entry hosts.
+const PEER_EXCHANGE_INTERVAL_MS: Millis = 500;
+/// The maximum number of other entry hosts, chosen at random, that are called in one exchange.
+const PEERS_PER_EXCHANGE: usize = 8;
+/// The interval between publications of the host's status and of the shards' free capacity.
+const PUBLISH_INTERVAL_MS: Millis = 500;
+/// The length of a latency window; slowdowns are measured at the end of each.
+const LATENCY_WINDOW_MS: Millis = 1_000;
 
-/// How long the hosts have to stay the same before a shard is released for balance.
-const SPREAD_AFTER_MS: Millis = 5_000;
+/// How long the number of candidate hosts has to stay the same before a shard is released to another host.
+const REBALANCE_AFTER_MS: Millis = 5_000;
 
-/// What the control thread is made of.
+/// Everything that the control thread is started with.
 pub struct ControlParts {
-    /// Checked settings.
+    /// The validated settings.
     pub settings: DaemonSettings,
-    /// This incarnation and where it listens.
+    /// This incarnation of the daemon and the addresses on which it listens.
     pub entry: EntryRow,
-    /// The platform.
+    /// The client of the platform.
     pub platform: PlatformClient,
-    /// The traffic threads.
+    /// The state shared with the traffic threads.
     pub traffic: Arc<TrafficShared>,
-    /// The operator face.
+    /// The state shared with the operator endpoint.
     pub operator: Arc<OperatorShared>,
-    /// Where the other entry hosts connect.
+    /// The listener to which the other entry hosts connect.
     pub peers: TcpListener,
-    /// Latencies from the traffic threads.
-    pub latencies: mpsc::Receiver<LatencySeen>,
-    /// Questions from the operator face.
+    /// Latency samples from the traffic threads.
+    pub latencies: mpsc::Receiver<LatencySample>,
+    /// Explain requests from the operator endpoint.
     pub questions: mpsc::Receiver<ExplainQuestion>,
-    /// Tells the control thread to stop as planned.
+    /// Asks the control thread to start a graceful shutdown.
     pub stop: mpsc::Receiver<()>,
-    /// Told when a planned stop has begun, whoever asked for it.
+    /// Notified when a graceful shutdown has begun, after a signal as well as after an operator's drain.
     pub stopping: mpsc::Sender<()>,
-    /// Told when it has stopped.
+    /// Notified when the control thread has stopped.
     pub stopped: oneshot::Sender<()>,
 }
 
-/// Rows that entry hosts share.
+/// The rows that all entry hosts share, as read in one round of reads.
 #[derive(Debug, Default)]
 pub(crate) struct SharedRows {
     pub(crate) entries: Vec<EntryRow>,
     pub(crate) drains: BTreeSet<String>,
     pub(crate) shards: Option<ShardMap>,
+    /// The membership view with its row version.
     pub(crate) view: (u64, MembershipView),
 }
 
-/// What comes back to the control thread.
+/// An input of the control thread: the result of a call that it started.
 pub(crate) enum ControlEvent {
     Shard(ShardId, ShardEvent),
-    ShardRows(Vec<(ShardId, ShardEvent)>),
-    Head(HeadRow),
-    Set(HeadRow, Vec<u8>),
-    SetMissed,
-    List(HostList),
-    Rows(SharedRows),
-    Peer(HostNews),
+    ShardRowsRead(Vec<(ShardId, ShardEvent)>),
+    HeadRead(HeadRow),
+    SetFetched(HeadRow, Vec<u8>),
+    SetFetchFailed,
+    ListRead(HostList),
+    RowsRead(SharedRows),
+    PeerAnswered(HostNews),
     ViewWritten,
-    Quotas(quota::QuotaRows),
+    QuotasRead(quota::QuotaRows),
     SliceWritten(quota::WrittenSlice),
 }
 
-/// When each thing is next due.
+/// The time at which each periodic action is next due.
 #[derive(Default)]
 struct DueTimes {
     head: Millis,
@@ -118,18 +119,18 @@
     rows: Millis,
     peers: Millis,
     publish: Millis,
-    judge: Millis,
+    slowdowns: Millis,
     view: Millis,
     quotas: Millis,
 }
 
 impl DueTimes {
-    /// Whether `due` has come; moves it on by `every`.
-    fn take(due: &mut Millis, now: Millis, every: Millis) -> bool {
+    /// Whether `due` has been reached; if so, sets it to `interval` after `now`.
+    fn advance_if_due(due: &mut Millis, now: Millis, interval: Millis) -> bool {
         if now < *due {
             return false;
         }
-        *due = now + every;
+        *due = now + interval;
         true
     }
 }
@@ -154,16 +155,16 @@
     list: HostList,
     worker_addresses: Rc<HashMap<WorkerId, SocketAddr>>,
     worker_shards: HashMap<WorkerId, ShardId>,
-    told_windows: BTreeSet<HostId>,
+    windows_sent_to: BTreeSet<HostId>,
     members: MemberTable,
     entries: BTreeMap<HostId, EntryRow>,
     drains: BTreeSet<String>,
     view: (u64, MembershipView),
     view_writing: bool,
-    keepers: BTreeMap<quota::SliceName, SliceTracker>,
+    slice_trackers: BTreeMap<quota::SliceName, SliceTracker>,
     entry_written: bool,
-    quiet_since: Millis,
-    known_candidates: usize,
+    stable_since: Millis,
+    candidate_count: usize,
     rooms: BTreeMap<ShardId, ShardRoom>,
     windows: HashMap<(ServiceId, WorkerId), LatencyWindow>,
     last_windows: Vec<LatencyWindow>,
@@ -173,7 +174,7 @@
     stopping_since: Option<Millis>,
 }
 
-/// Runs the control thread until a planned stop is done.
+/// Runs the control thread until a graceful shutdown is complete.
 pub async fn run_control(parts: ControlParts) {
     let local = LocalSet::new();
     local.run_until(run_local(parts)).await;
@@ -201,7 +202,7 @@
     let state = Rc::new(RefCell::new(state));
     spawn_local(serve_peers(
         peers,
-        Rc::new(PeerFace {
+        Rc::new(PeerEndpoint {
             state: state.clone(),
         }),
     ));
@@ -211,18 +212,18 @@
         questions,
         stop,
     };
-    drive(&state, inputs, tick).await;
+    run_event_loop(&state, inputs, tick).await;
     let _ = stopped.send(());
 }
 
 struct ControlInputs {
     events: UnboundedReceiver<ControlEvent>,
-    latencies: mpsc::Receiver<LatencySeen>,
+    latencies: mpsc::Receiver<LatencySample>,
     questions: mpsc::Receiver<ExplainQuestion>,
     stop: mpsc::Receiver<()>,
 }
 
-async fn drive(state: &RefCell<ControlState>, mut inputs: ControlInputs, tick: Duration) {
+async fn run_event_loop(state: &RefCell<ControlState>, mut inputs: ControlInputs, tick: Duration) {
     let mut ticks = tokio::time::interval(tick);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -247,7 +248,9 @@
     }
 }
 
-/// Takes this host out of the shared rows, so that the others need not wait for the platform to miss it.
+/// Removes this host from the shared rows.
+///
+/// Otherwise the other hosts would wait until the platform lists this host as gone.
 async fn leave(state: &RefCell<ControlState>) {
     let (platform, txn) = state.borrow().leave_transaction();
     if platform.transact(&txn).await.is_err() {
@@ -261,14 +264,14 @@
     }
 }
 
-struct PeerFace {
+struct PeerEndpoint {
     state: Rc<RefCell<ControlState>>,
 }
 
-impl PeerHandler for PeerFace {
+impl PeerHandler for PeerEndpoint {
     fn exchange(&self, news: HostNews) -> HostNews {
         let mut state = self.state.borrow_mut();
-        state.on_peer(clock::now(), news);
+        state.handle_peer_news(clock::now(), news);
         state.own_news()
     }
 
@@ -308,15 +311,15 @@
             list: HostList::default(),
             worker_addresses: Rc::new(HashMap::new()),
             worker_shards: HashMap::new(),
-            told_windows: BTreeSet::new(),
+            windows_sent_to: BTreeSet::new(),
             entries: BTreeMap::new(),
             drains: BTreeSet::new(),
             view: (0, MembershipView::default()),
             view_writing: false,
-            keepers: BTreeMap::new(),
+            slice_trackers: BTreeMap::new(),
             entry_written: false,
-            quiet_since: 0,
-            known_candidates: 0,
+            stable_since: 0,
+            candidate_count: 0,
             rooms: BTreeMap::new(),
             windows: HashMap::new(),
             last_windows: Vec::new(),
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Runs a call as a local task; what it returns comes back as an event.
+    /// Runs a call as a local task; the event that it returns, if any, is sent to the control thread.
     fn spawn(&self, call: impl Future<Output = Option<ControlEvent>> + 'static) {
         let events = self.events.clone();
         spawn_local(async move {
@@ -338,32 +341,32 @@
     }
 
     fn on_tick(&mut self, now: Millis) {
-        if DueTimes::take(&mut self.due.head, now, HEAD_EVERY_MS) {
+        if DueTimes::advance_if_due(&mut self.due.head, now, HEAD_READ_INTERVAL_MS) {
             self.read_head();
         }
-        if DueTimes::take(&mut self.due.list, now, LIST_EVERY_MS) {
+        if DueTimes::advance_if_due(&mut self.due.list, now, LIST_READ_INTERVAL_MS) {
             self.read_list();
         }
-        if DueTimes::take(&mut self.due.rows, now, ROWS_EVERY_MS) {
+        if DueTimes::advance_if_due(&mut self.due.rows, now, ROWS_READ_INTERVAL_MS) {
             self.read_rows();
         }
-        if DueTimes::take(&mut self.due.peers, now, PEERS_EVERY_MS) {
-            self.tell_peers();
+        if DueTimes::advance_if_due(&mut self.due.peers, now, PEER_EXCHANGE_INTERVAL_MS) {
+            self.exchange_with_peers();
         }
-        if DueTimes::take(&mut self.due.judge, now, JUDGE_EVERY_MS) {
-            self.judge_latencies(now);
+        if DueTimes::advance_if_due(&mut self.due.slowdowns, now, LATENCY_WINDOW_MS) {
+            self.measure_slowdowns(now);
         }
-        if DueTimes::take(&mut self.due.view, now, JUDGE_EVERY_MS) {
-            self.keep_view();
-            self.spread_shards(now);
+        if DueTimes::advance_if_due(&mut self.due.view, now, LATENCY_WINDOW_MS) {
+            self.maintain_view();
+            self.rebalance_shards(now);
         }
-        if DueTimes::take(&mut self.due.quotas, now, QUOTAS_EVERY_MS) {
+        if DueTimes::advance_if_due(&mut self.due.quotas, now, QUOTAS_READ_INTERVAL_MS) {
             self.read_quotas(now);
         }
         self.tick_owners(now);
         self.read_wanted_rows();
         self.traffic.router.handle(RouteEvent::Tick);
-        if DueTimes::take(&mut self.due.publish, now, PUBLISH_EVERY_MS) {
+        if DueTimes::advance_if_due(&mut self.due.publish, now, PUBLISH_INTERVAL_MS) {
             self.share_rooms(now);
             self.publish_status(now);
         }
@@ -372,19 +375,19 @@
     fn on_event(&mut self, now: Millis, event: ControlEvent) {
         match event {
             ControlEvent::Shard(shard, event) => self.feed(now, &shard, event),
-            ControlEvent::ShardRows(rows) => {
+            ControlEvent::ShardRowsRead(rows) => {
                 for (shard, event) in rows {
                     self.feed(now, &shard, event);
                 }
             }
-            ControlEvent::Head(head) => self.hear_head(&head, None),
-            ControlEvent::Set(head, bytes) => self.take_set(now, &head, &bytes),
-            ControlEvent::SetMissed => self.fetching = false,
-            ControlEvent::List(list) => self.take_list(now, list),
-            ControlEvent::Rows(rows) => self.take_rows(now, rows),
-            ControlEvent::Peer(news) => self.on_peer(now, news),
+            ControlEvent::HeadRead(head) => self.handle_head(&head, None),
+            ControlEvent::SetFetched(head, bytes) => self.apply_set(now, &head, &bytes),
+            ControlEvent::SetFetchFailed => self.fetching = false,
+            ControlEvent::ListRead(list) => self.handle_host_list(now, list),
+            ControlEvent::RowsRead(rows) => self.handle_shared_rows(now, rows),
+            ControlEvent::PeerAnswered(news) => self.handle_peer_news(now, news),
             ControlEvent::ViewWritten => self.view_writing = false,
-            ControlEvent::Quotas(rows) => self.take_quotas(now, &rows),
+            ControlEvent::QuotasRead(rows) => self.handle_quota_rows(now, &rows),
             ControlEvent::SliceWritten(written) => self.slice_written(now, &written),
         }
     }
@@ -394,7 +397,8 @@
             return;
         }
         self.stopping_since = Some(now);
-        // From here on each answer asks its caller to connect anew, which the balancer sends elsewhere.
+        // From now on each answer closes its connection. The caller then reconnects, and the load balancer
+        // routes the new connection to another host.
         self.traffic.closing.store(true, Ordering::Relaxed);
         let _ = self.stopping.try_send(());
         self.members.note_stopping();
@@ -406,15 +410,18 @@
         }
     }
 
-    /// Whether a planned stop is done: nothing is owned or under way, or the store is out for too long.
+    /// Whether a graceful shutdown is complete: the drain time has passed, no request is in flight and no shard is owned.
+    ///
+    /// Shards still owned after the drain time plus two shard leases no longer count: the store is taken to be unavailable.
     fn has_stopped(&self, now: Millis) -> bool {
         let Some(since) = self.stopping_since else {
             return false;
         };
         let drained = now >= since + self.settings.limits.drain_ms;
         let owned = self.owners.values().any(|owner| owner.is_owner(now));
-        let patience = self.settings.limits.drain_ms + self.settings.limits.shard_lease_ms * 2;
+        let release_timeout_ms =
+            self.settings.limits.drain_ms + self.settings.limits.shard_lease_ms * 2;
         let idle = self.traffic.router.open_requests() == 0;
-        drained && idle && (!owned || now >= since + patience)
+        drained && idle && (!owned || now >= since + release_timeout_ms)
     }
 }
--- a/crates/sandshelfd/src/control/explain.rs
+++ b/crates/sandshelfd/src/control/explain.rs
@@ -1,4 +1,4 @@
-//! Answers why a task, a job or a class of requests is where it is.
+//! Explains the current state of a task, a job or a class of requests to operators.
 
 use sandshelf_lease::{ShardOwner, TaskStage, TaskState};
 use sandshelf_model::{AttemptId, JobId, TaskId};
@@ -7,11 +7,13 @@
 use crate::clock;
 use crate::status::ExplainAnswer;
 
-/// The most tasks of one job that are explained.
-const MOST_TASKS: usize = 50;
+/// The maximum number of tasks of one job that are explained per shard.
+const MAX_EXPLAINED_TASKS: usize = 50;
 
 impl ControlState {
-    /// Explains a task (`JOB/INDEX`), a job, or a class of requests, as far as this host knows.
+    /// Explains a task (`JOB/INDEX`), a job, or a class of requests (the name of a service).
+    ///
+    /// Covers only the shards and requests of this host; without any, the answer has no lines.
     pub(super) fn explain(&self, subject: &str) -> ExplainAnswer {
         let mut lines = Vec::new();
         let (job, index) = split_task(subject);
@@ -28,7 +30,7 @@
         let Some(service) = self.config.set().and_then(|set| set.service(name)) else {
             return;
         };
-        let (share, waiting) = self.traffic.router.look(|core| {
+        let (share, waiting) = self.traffic.router.inspect(|core| {
             let share = core.fleet().share_of(&service.name);
             (share, core.waiting())
         });
@@ -54,27 +56,27 @@
 }
 
 fn explain_job(owner: &ShardOwner, job: &JobId, only: Option<u32>, lines: &mut Vec<String>) {
-    let Some(book) = owner.state().jobs.get(job) else {
+    let Some(job_state) = owner.state().jobs.get(job) else {
         return;
     };
-    let tasks = book.tasks.iter();
+    let tasks = job_state.tasks.iter();
     let tasks = tasks.filter(|(index, _)| only.is_none_or(|only| only == **index));
-    for (&index, cell) in tasks.take(MOST_TASKS) {
+    for (&index, task_state) in tasks.take(MAX_EXPLAINED_TASKS) {
         let task = TaskId {
             job: job.clone(),
             index,
         };
-        lines.push(explain_task(owner, &task, cell));
+        lines.push(explain_task(owner, &task, task_state));
     }
 }
 
-fn explain_task(owner: &ShardOwner, task: &TaskId, cell: &TaskState) -> String {
+fn explain_task(owner: &ShardOwner, task: &TaskId, task_state: &TaskState) -> String {
     let shard = owner.shard();
     let past = format!(
         "attempts {}, failures {}, evictions {}, hand-offs {}",
-        cell.attempts, cell.failures, cell.evictions, cell.hops
+        task_state.attempts, task_state.failures, task_state.evictions, task_state.hops
     );
-    let state = match &cell.stage {
+    let state = match &task_state.stage {
         TaskStage::Waiting => {
             let reason = owner.wait_reason(clock::now(), task).text();
             format!("waits: {reason}")
@@ -82,7 +84,7 @@
         TaskStage::Placed(worker) => {
             let attempt = AttemptId {
                 task: task.clone(),
-                number: cell.attempts,
+                number: task_state.attempts,
             };
             let why = match owner.placed_reason(&attempt) {
                 Some(reason) => format!(
--- a/crates/sandshelfd/src/control/fleet.rs
+++ b/crates/sandshelfd/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! Takes in the platform's host list and the rows that entry hosts share.
+//! Applies the platform's host list and the rows that entry hosts share.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::logging::event;
 use crate::meters;
 
-/// How many workers one shard holds at the most, when the shards are first made.
+/// The maximum number of workers per shard when the shard map is first created.
 const WORKERS_PER_SHARD: usize = 64;
 
 impl ControlState {
@@ -26,7 +26,7 @@
         self.spawn(async move {
             let list = platform.host_list().await;
             meters::note_platform("list", list.is_ok());
-            list.ok().map(ControlEvent::List)
+            list.ok().map(ControlEvent::ListRead)
         });
     }
 
@@ -35,23 +35,23 @@
         self.spawn(async move {
             let rows = read_shared_rows(&platform).await;
             meters::note_platform("read", rows.is_ok());
-            rows.ok().map(ControlEvent::Rows)
+            rows.ok().map(ControlEvent::RowsRead)
         });
     }
 
-    /// Takes in a list, unless a newer one was taken in before.
-    pub(super) fn take_list(&mut self, now: Millis, list: HostList) {
+    /// Applies a host list, unless a newer one has been applied.
+    pub(super) fn handle_host_list(&mut self, now: Millis, list: HostList) {
         if list.as_of < self.list.as_of {
             return;
         }
         self.list = list;
-        self.make_map();
-        self.list_servers();
-        self.list_workers(now);
+        self.create_shard_map();
+        self.report_servers();
+        self.report_workers(now);
         self.publish_view();
     }
 
-    fn list_servers(&self) {
+    fn report_servers(&self) {
         let mut entries = Vec::new();
         let mut gone = Vec::new();
         let mut leaving = Vec::new();
@@ -79,8 +79,8 @@
         router.handle(RouteEvent::ServersGone(gone));
     }
 
-    /// Tells each owner of its shard's workers.
-    fn list_workers(&mut self, now: Millis) {
+    /// Reports to each shard owner the workers of its shard.
+    fn report_workers(&mut self, now: Millis) {
         let mut addresses = HashMap::new();
         let mut shards = HashMap::new();
         let mut lists: BTreeMap<ShardId, WorkerLists> = BTreeMap::new();
@@ -107,7 +107,10 @@
         }
     }
 
-    /// The shard that a worker belongs to: one of its hall's, or one of any where its hall has none.
+    /// The shard to which a worker belongs, by rendezvous hashing.
+    ///
+    /// Only the shards of the worker's hall are considered, or all shards where that hall has none. None before the
+    /// shard map is known.
     fn shard_of(&self, hall: &HallId, worker: &WorkerId) -> Option<ShardId> {
         let map = self.map.as_ref()?;
         let in_hall = map.shards.iter().any(|place| &place.hall == hall);
@@ -120,8 +123,8 @@
         best.map(|place| place.shard.clone())
     }
 
-    /// Writes the list of shards where there is none yet.
-    fn make_map(&mut self) {
+    /// Writes the shard map where none is known yet; the write takes effect only where no host has written one.
+    fn create_shard_map(&mut self) {
         if self.map.is_some() {
             return;
         }
@@ -155,11 +158,11 @@
         });
     }
 
-    pub(super) fn take_rows(&mut self, now: Millis, rows: SharedRows) {
+    pub(super) fn handle_shared_rows(&mut self, now: Millis, rows: SharedRows) {
         if let (None, Some(map)) = (&self.map, rows.shards) {
-            self.take_map(now, map);
+            self.apply_shard_map(now, map);
         }
-        self.take_entries(rows.entries);
+        self.apply_entries(rows.entries);
         self.note_members_without_entry(&rows.view.1);
         if rows.drains.contains(self.entry.name.as_str()) && self.stopping_since.is_none() {
             event("drained", &[("host", &self.entry.host)]);
@@ -167,7 +170,7 @@
         }
         if rows.drains != self.drains {
             self.drains = rows.drains;
-            self.list_workers(now);
+            self.report_workers(now);
         }
         if rows.view.0 > self.view.0 {
             self.view = rows.view;
@@ -179,17 +182,20 @@
         }
     }
 
-    fn take_map(&mut self, now: Millis, map: ShardMap) {
+    fn apply_shard_map(&mut self, now: Millis, map: ShardMap) {
         let ids = map.shards.iter().map(|place| place.shard.clone());
         self.shard_ids = Arc::new(ids.collect());
-        self.make_owners(&map);
+        self.create_owners(&map);
         self.map = Some(map);
-        self.list_workers(now);
+        self.report_workers(now);
         self.configure_owners(now);
     }
 
-    /// An earlier incarnation that listened where a later one now does is gone: an address has one listener.
-    fn take_entries(&mut self, entries: Vec<EntryRow>) {
+    /// Applies the entry hosts' rows and records the hosts that are gone.
+    ///
+    /// A host whose peer address is now this host's is an earlier incarnation and is gone, because an address has
+    /// only one listener.
+    fn apply_entries(&mut self, entries: Vec<EntryRow>) {
         let own = &self.entry;
         let replaced: Vec<HostId> = entries
             .iter()
@@ -212,7 +218,9 @@
         }
     }
 
-    /// A member of a view that has no entry has stopped as planned, or was found to be gone by another host.
+    /// Records the members of a view that have no entry as gone.
+    ///
+    /// Such a member has shut down gracefully, or another host found it to be gone.
     fn note_members_without_entry(&mut self, view: &MembershipView) {
         let views = view.earlier.iter().chain([view]);
         let left: BTreeSet<HostId> = views
@@ -248,7 +256,7 @@
         }
     }
 
-    /// Writes where this host listens, so that the others find it.
+    /// Writes this host's entry with the addresses on which it listens, so that other entry hosts can reach it.
     fn write_entry(&self) {
         let key = TableKey::Entry(&self.entry.host).text();
         let text = serde_json::to_string(&self.entry).unwrap_or_default();
@@ -291,7 +299,8 @@
 }
 
 async fn read_shared_rows(platform: &PlatformClient) -> Result<SharedRows, StoreFault> {
-    // The view comes first: a host writes its entry before it joins the view, so that a member without one has left.
+    // The view is read before the entries: a host writes its entry before it joins the view, so a member of this
+    // view without an entry has left.
     let view = platform.read_row(&TableKey::View.text()).await?;
     let entries = ReadRange::prefix(&TableKey::Entries.text());
     let entries = platform.read_range(&entries).await?;
--- a/crates/sandshelfd/src/control/intake.rs
+++ b/crates/sandshelfd/src/control/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in configurations, from the store or from another entry host.
+//! Fetches newer configurations from the store or from another entry host and puts them in force.
 
 use std::sync::Arc;
 
@@ -19,12 +19,15 @@
             meters::note_platform("read", read.is_ok());
             let row = read.ok()??;
             let head = serde_json::from_str(&row.value).ok()?;
-            Some(ControlEvent::Head(head))
+            Some(ControlEvent::HeadRead(head))
         });
     }
 
-    /// Fetches the set of a head that is newer than what is in force; `from` is the host that told of it.
-    pub(super) fn hear_head(&mut self, head: &HeadRow, from: Option<&HostId>) {
+    /// Fetches the configuration set of `head` where it is newer than the one in force.
+    ///
+    /// `from` is the entry host that reported the head; it is asked for the set first, then the store. Does nothing
+    /// while another fetch is running.
+    pub(super) fn handle_head(&mut self, head: &HeadRow, from: Option<&HostId>) {
         if self.fetching {
             return;
         }
@@ -37,19 +40,19 @@
         let peer = from.and_then(|host| self.entries.get(host)).cloned();
         self.spawn(async move {
             if let Some(peer) = peer {
-                let told = links.configuration(&peer.host, peer.peer, &head.digest);
-                if let Some(bytes) = told.await {
-                    return Some(ControlEvent::Set(head, bytes));
+                let fetched = links.configuration(&peer.host, peer.peer, &head.digest);
+                if let Some(bytes) = fetched.await {
+                    return Some(ControlEvent::SetFetched(head, bytes));
                 }
             }
             match platform.get_object(&head.digest).await {
-                Ok(bytes) => Some(ControlEvent::Set(head, bytes)),
-                Err(_) => Some(ControlEvent::SetMissed),
+                Ok(bytes) => Some(ControlEvent::SetFetched(head, bytes)),
+                Err(_) => Some(ControlEvent::SetFetchFailed),
             }
         });
     }
 
-    pub(super) fn take_set(&mut self, now: Millis, head: &HeadRow, bytes: &[u8]) {
+    pub(super) fn apply_set(&mut self, now: Millis, head: &HeadRow, bytes: &[u8]) {
         self.fetching = false;
         if !self.config.put_in_force(head, bytes) {
             return;
@@ -68,7 +71,7 @@
         self.configure_owners(now);
     }
 
-    /// Tells every owner what is in force.
+    /// Sends the configuration in force to every shard owner, once both a configuration and the shard list are known.
     pub(super) fn configure_owners(&mut self, now: Millis) {
         let Some(set) = self.config.set().cloned() else {
             return;
--- a/crates/sandshelfd/src/control/owners.rs
+++ b/crates/sandshelfd/src/control/owners.rs
@@ -1,14 +1,14 @@
-//! The shard owners of this host: what they are told, what they ask for, and which shards they stand for.
+//! Drives the shard owners of this host: passes them events, performs their actions and releases shards for balance.
 
 use rand::RngExt;
 use sandshelf_lease::{LeaseTimes, ShardAction, ShardEvent, ShardNote, ShardOwner};
 use sandshelf_model::{AttemptId, Millis, ShardId};
 use sandshelf_platform::ShardMap;
 
-use super::{ControlEvent, ControlState, SPREAD_AFTER_MS};
+use super::{ControlEvent, ControlState, REBALANCE_AFTER_MS};
 use crate::logging::event;
 use crate::meters;
-use crate::shards::{carry_out, read_rows};
+use crate::shards::{perform_action, read_rows};
 
 impl ControlState {
     pub(super) fn tick_owners(&mut self, now: Millis) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Reads all rows that owners asked for since the last tick, in one call.
+    /// Reads all shard rows that owners have requested since the last tick, in one call.
     pub(super) fn read_wanted_rows(&mut self) {
         let shards = std::mem::take(&mut self.wanted_rows);
         if shards.is_empty() {
@@ -30,11 +30,11 @@
         let platform = self.platform.clone();
         self.spawn(async move {
             let rows = read_rows(&platform, &shards).await;
-            Some(ControlEvent::ShardRows(rows))
+            Some(ControlEvent::ShardRowsRead(rows))
         });
     }
 
-    /// Hands an event to a shard's owner and has its actions carried out.
+    /// Passes an event to a shard's owner and performs the actions that it returns.
     pub(super) fn feed(&mut self, now: Millis, shard: &ShardId, event: ShardEvent) {
         let Some(owner) = self.owners.get_mut(shard) else {
             return;
@@ -46,17 +46,17 @@
                 ShardAction::ReadRow => {
                     self.wanted_rows.insert(shard.clone());
                 }
-                action => self.start(shard, action),
+                action => self.spawn_action(shard, action),
             }
         }
     }
 
-    fn start(&self, shard: &ShardId, action: ShardAction) {
+    fn spawn_action(&self, shard: &ShardId, action: ShardAction) {
         let platform = self.platform.clone();
         let workers = self.worker_addresses.clone();
         let shard = shard.clone();
         self.spawn(async move {
-            let event = carry_out(&platform, &shard, action, &workers).await?;
+            let event = perform_action(&platform, &shard, action, &workers).await?;
             Some(ControlEvent::Shard(shard, event))
         });
     }
@@ -72,7 +72,7 @@
             ShardNote::Lost => event("shard_lost", &[("shard", shard)]),
             ShardNote::Released => event("shard_released", &[("shard", shard)]),
             ShardNote::Placed(attempt, worker, waited) => {
-                self.meter_start(shard, attempt, *waited);
+                self.record_start_delay(shard, attempt, *waited);
                 event(
                     "task_placed",
                     &[
@@ -95,35 +95,39 @@
         }
     }
 
-    fn meter_start(&self, shard: &ShardId, attempt: &AttemptId, waited: Millis) {
+    fn record_start_delay(&self, shard: &ShardId, attempt: &AttemptId, waited: Millis) {
         let owner = self.owners.get(shard);
         if let Some(spec) = owner.and_then(|owner| owner.state().spec(&attempt.task.job)) {
             meters::note_start(&spec.team, waited as f64 / 1_000.0);
         }
     }
 
-    /// Releases a shard where this host has more than its part and another host is to have it.
+    /// Releases one shard where this host owns more than its share and another host ranks before this one for it.
     ///
-    /// Only one at a time, and only while the hosts have been the same for a while.
-    pub(super) fn spread_shards(&mut self, now: Millis) {
+    /// At most one shard is released per [`REBALANCE_AFTER_MS`], and only while the number of candidate hosts has not
+    /// changed for that long.
+    pub(super) fn rebalance_shards(&mut self, now: Millis) {
         let hosts = self.members.candidates(now).len();
-        if hosts != self.known_candidates {
-            self.known_candidates = hosts;
-            self.quiet_since = now;
+        if hosts != self.candidate_count {
+            self.candidate_count = hosts;
+            self.stable_since = now;
         }
-        if hosts < 2 || now < self.quiet_since + SPREAD_AFTER_MS || self.stopping_since.is_some() {
+        if hosts < 2
+            || now < self.stable_since + REBALANCE_AFTER_MS
+            || self.stopping_since.is_some()
+        {
             return;
         }
         let owned = self.owners.values().filter(|owner| owner.is_owner(now));
         if owned.count() <= self.owners.len().div_ceil(hosts) {
             return;
         }
-        let better = self.owners.values().find(|owner| {
+        let misplaced = self.owners.values().find(|owner| {
             let rank = self.members.rank(now, owner.shard(), None);
             owner.is_owner(now) && rank.is_some_and(|rank| rank > 0)
         });
-        if let Some(shard) = better.map(|owner| owner.shard().clone()) {
-            self.quiet_since = now;
+        if let Some(shard) = misplaced.map(|owner| owner.shard().clone()) {
+            self.stable_since = now;
             self.feed(now, &shard, ShardEvent::Release);
         }
     }
@@ -137,8 +141,8 @@
         )
     }
 
-    /// Makes an owner for each shard of the map.
-    pub(super) fn make_owners(&mut self, map: &ShardMap) {
+    /// Creates an owner for each shard of the map that has none yet.
+    pub(super) fn create_owners(&mut self, map: &ShardMap) {
         let times = self.lease_times();
         for place in &map.shards {
             let seed = rand::rng().random();
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -1,4 +1,5 @@
-//! What the control thread publishes: the traffic view, status, room in shards, and judged latencies.
+//! What the control thread publishes: the traffic view, the host's status, the shards' free capacity, and the
+//! slowdowns measured from latencies.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,16 +9,16 @@
 use sandshelf_platform::{HostKind, HostState};
 use sandshelf_route::ServerState;
 
-use super::{ControlState, JUDGE_EVERY_MS};
+use super::{ControlState, LATENCY_WINDOW_MS};
 use crate::meters;
 use crate::status::{
     HostStatus, JobStatus, QuotaStatus, RequestStatus, ServerStatus, ShardStatus, StageCount,
     WorkerStatus,
 };
-use crate::traffic::{LatencySeen, TrafficView};
+use crate::traffic::{LatencySample, TrafficView};
 
 impl ControlState {
-    /// Publishes a new view to the traffic threads.
+    /// Publishes the configuration in force and the backend servers' addresses to the traffic threads.
     pub(super) fn publish_view(&self) {
         let mut servers = HashMap::new();
         for host in &self.list.hosts {
@@ -33,7 +34,7 @@
         });
     }
 
-    pub(super) fn note_latency(&mut self, seen: &LatencySeen) {
+    pub(super) fn note_latency(&mut self, seen: &LatencySample) {
         let key = (seen.service.clone(), seen.worker.clone());
         let window = self.windows.entry(key).or_insert_with(|| LatencyWindow {
             service: seen.service.clone(),
@@ -45,9 +46,11 @@
         window.total_ms += seen.latency_ms;
     }
 
-    /// Judges the last window's latencies, this host's and the others', on the workers whose shards it owns.
-    pub(super) fn judge_latencies(&mut self, now: Millis) {
-        self.told_windows.clear();
+    /// Measures slowdowns from the last latency window on the workers whose shards this host owns.
+    ///
+    /// The windows of this host and those received from other entry hosts are summed by service and worker.
+    pub(super) fn measure_slowdowns(&mut self, now: Millis) {
+        self.windows_sent_to.clear();
         self.last_windows = self.windows.drain().map(|(_, window)| window).collect();
         let mut sums: BTreeMap<(ServiceId, WorkerId), LatencyWindow> = BTreeMap::new();
         let all = self.peer_windows.values().flatten();
@@ -63,11 +66,11 @@
         }
         self.peer_windows.clear();
         for window in sums.values() {
-            self.judge_window(now, window);
+            self.measure_slowdown(now, window);
         }
     }
 
-    fn judge_window(&mut self, now: Millis, window: &LatencyWindow) {
+    fn measure_slowdown(&mut self, now: Millis, window: &LatencyWindow) {
         let owner = self
             .owners
             .values()
@@ -79,7 +82,7 @@
             *families.entry(tenant.family.clone()).or_default() += 1;
         }
         let slots = self.config.set().map_or(1, |set| set.backends.slots);
-        let band = LoadBand::of(window.utilisation(JUDGE_EVERY_MS, slots));
+        let band = LoadBand::of(window.utilisation(LATENCY_WINDOW_MS, slots));
         let slowdown = self.meter.slowdown(window, band, families.is_empty());
         let Some(slowdown) = slowdown else { return };
         let sample = SlowdownSample {
@@ -87,7 +90,7 @@
             families: families.into_iter().collect(),
             band,
             slowdown,
-            stamped_at: now.saturating_sub(JUDGE_EVERY_MS),
+            stamped_at: now.saturating_sub(LATENCY_WINDOW_MS),
         };
         let event = ShardEvent::SlowdownMeasured {
             worker: window.worker.clone(),
@@ -96,7 +99,7 @@
         self.feed(now, &shard, event);
     }
 
-    /// Tells every owner how much room the other shards have.
+    /// Sends the free capacity of all known shards to every shard owner.
     pub(super) fn share_rooms(&mut self, now: Millis) {
         for owner in self.owners.values() {
             if *owner.stage() == LeaseStage::Holding {
@@ -112,7 +115,7 @@
 
     fn is_ready(&self) -> bool {
         self.config.set().is_some()
-            && self.traffic.router.look(|core| core.view_version()) > 0
+            && self.traffic.router.inspect(|core| core.view_version()) > 0
             && self.stopping_since.is_none()
     }
 
@@ -133,7 +136,7 @@
             stopping: self.stopping_since.is_some(),
             revision: head.revision,
             digest: head.digest.clone(),
-            view_version: self.traffic.router.look(|core| core.view_version()),
+            view_version: self.traffic.router.inspect(|core| core.view_version()),
             members: self
                 .view
                 .1
@@ -148,7 +151,7 @@
     }
 
     fn request_status(&self) -> RequestStatus {
-        self.traffic.router.look(|core| {
+        self.traffic.router.inspect(|core| {
             let counts = core.counts();
             RequestStatus {
                 arrived: counts.arrived,
@@ -163,7 +166,7 @@
     }
 
     fn server_status(&self) -> Vec<ServerStatus> {
-        let mut servers: Vec<ServerStatus> = self.traffic.router.look(|core| {
+        let mut servers: Vec<ServerStatus> = self.traffic.router.inspect(|core| {
             let loads = core.fleet().servers();
             loads
                 .map(|load| ServerStatus {
@@ -222,14 +225,14 @@
 
 fn job_statuses(owner: &ShardOwner) -> Vec<JobStatus> {
     let jobs = owner.state().jobs.iter();
-    jobs.map(|(job, book)| {
+    jobs.map(|(job, job_state)| {
         let mut stages: BTreeMap<&str, usize> = BTreeMap::new();
-        for cell in book.tasks.values() {
-            *stages.entry(cell.stage.label()).or_default() += 1;
+        for task_state in job_state.tasks.values() {
+            *stages.entry(task_state.stage.label()).or_default() += 1;
         }
         JobStatus {
             job: job.to_string(),
-            team: book.spec.team.to_string(),
+            team: job_state.spec.team.to_string(),
             watch: owner.state().is_watch(job),
             stages: stages
                 .into_iter()
--- a/crates/sandshelfd/src/control/quota.rs
+++ b/crates/sandshelfd/src/control/quota.rs
@@ -1,4 +1,4 @@
-//! Keeps the slices of the teams' quotas that the shards of this host need.
+//! Claims the slices of the teams' quotas that the shards owned by this host need.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::{ControlEvent, ControlState};
 use crate::meters;
 
-/// Teams' rows with their versions.
+/// Each team's quota row with its row version.
 pub(crate) type QuotaRows = BTreeMap<TeamId, (u64, QuotaRow)>;
 
 /// Names one owner's slice of one team's quota.
@@ -20,7 +20,7 @@
     pub(crate) epoch: Epoch,
 }
 
-/// A row that was written for certain.
+/// A quota row whose write is known to be committed.
 pub(crate) struct WrittenSlice {
     name: SliceName,
     version: u64,
@@ -28,7 +28,7 @@
 }
 
 impl ControlState {
-    /// Reads every team's row, where this host owns a shard.
+    /// Reads every team's quota row; does nothing where this host owns no shard.
     pub(super) fn read_quotas(&self, now: Millis) {
         if !self.owners.values().any(|owner| owner.is_owner(now)) {
             return;
@@ -44,12 +44,12 @@
                 let slices = serde_json::from_str(&row.value).ok()?;
                 Some((team, (row.version, slices)))
             });
-            Some(ControlEvent::Quotas(parsed.collect()))
+            Some(ControlEvent::QuotasRead(parsed.collect()))
         });
     }
 
-    /// Plans each owned shard's slice of each team's quota.
-    pub(super) fn take_quotas(&mut self, now: Millis, rows: &QuotaRows) {
+    /// Plans and applies each owned shard's slice of each team's quota.
+    pub(super) fn handle_quota_rows(&mut self, now: Millis, rows: &QuotaRows) {
         let Some(set) = self.config.set().cloned() else {
             return;
         };
@@ -77,22 +77,22 @@
         version: u64,
         row: &QuotaRow,
     ) {
-        let wanted = self.owners[&name.shard].quota_demand(&name.team);
-        let unused = wanted == ResourceSize::default() && !row.slices.contains_key(&name.shard);
+        let demand = self.owners[&name.shard].quota_demand(&name.team);
+        let unused = demand == ResourceSize::default() && !row.slices.contains_key(&name.shard);
         if unused {
             return;
         }
-        let keeper = self.keepers.entry(name.clone()).or_default();
-        let step = keeper.plan(version, row, &name.shard, name.epoch, quota, &wanted);
+        let tracker = self.slice_trackers.entry(name.clone()).or_default();
+        let step = tracker.plan(version, row, &name.shard, name.epoch, quota, &demand);
         if let Some(size) = step.use_now {
-            self.use_slice(now, name, size);
+            self.apply_slice(now, name, size);
         }
         if let Some(next) = step.write {
             self.write_slice(name, version, next);
         }
     }
 
-    fn use_slice(&mut self, now: Millis, name: &SliceName, slice: ResourceSize) {
+    fn apply_slice(&mut self, now: Millis, name: &SliceName, slice: ResourceSize) {
         if self.owners[&name.shard].epoch() != name.epoch {
             return;
         }
@@ -103,19 +103,21 @@
         self.feed(now, &name.shard, event);
     }
 
-    /// Takes in that a row was written for certain.
+    /// Applies the slice of a row whose write is known to be committed.
     pub(super) fn slice_written(&mut self, now: Millis, written: &WrittenSlice) {
         let name = &written.name;
-        let Some(keeper) = self.keepers.get_mut(name) else {
+        let Some(tracker) = self.slice_trackers.get_mut(name) else {
             return;
         };
-        let size = keeper.note_written(written.version, &written.row, &name.shard, name.epoch);
+        let size = tracker.note_written(written.version, &written.row, &name.shard, name.epoch);
         if let Some(size) = size {
-            self.use_slice(now, name, size);
+            self.apply_slice(now, name, size);
         }
     }
 
-    /// Writes a row, conditional on the version that it was planned on; an unknown outcome is settled by a later read.
+    /// Writes a row, conditional on the version on which it was planned.
+    ///
+    /// No event follows a conflict or an unknown outcome; a later read of the row settles it.
     fn write_slice(&self, name: &SliceName, version: u64, row: QuotaRow) {
         let key = TableKey::Quota(&name.team).text();
         let text = serde_json::to_string(&row).unwrap_or_default();
--- a/crates/sandshelfd/src/control/view.rs
+++ b/crates/sandshelfd/src/control/view.rs
@@ -1,4 +1,5 @@
-//! Keeps this host in the view of the backend servers' slots, and exchanges news with the others.
+//! Keeps this host in the membership view, which divides the backend servers' slots among the entry hosts, and
+//! exchanges [`HostNews`] with the other entry hosts.
 
 use rand::seq::SliceRandom;
 use sandshelf_lease::HeadRow;
@@ -8,11 +9,13 @@
 use sandshelf_platform::{EntryRow, PlatformClient, RowCheck, TableKey, TableTxn};
 use sandshelf_route::{MembershipView, RouteEvent};
 
-use super::{ControlEvent, ControlState, PEERS_AT_A_TIME};
+use super::{ControlEvent, ControlState, PEERS_PER_EXCHANGE};
 
 impl ControlState {
-    /// Writes a new view where this host is missing from it, or where one of it is gone.
-    pub(super) fn keep_view(&mut self) {
+    /// Writes a new membership view where this host is missing from it or one of its members is gone.
+    ///
+    /// Does nothing while a write is pending, during a shutdown, or before this host's own entry is written.
+    pub(super) fn maintain_view(&mut self) {
         if self.view_writing || self.stopping_since.is_some() || !self.entry_written {
             return;
         }
@@ -37,13 +40,13 @@
 
     fn is_gone(&self, host: &HostId) -> bool {
         let router = &self.traffic.router;
-        router.look(|core| core.share().is_gone(host))
+        router.inspect(|core| core.share().is_gone(host))
     }
 
-    /// A write of the view with these members, conditional on the view as it was read.
+    /// Builds the write of a view with these members, conditional on the row version of the view last read.
     fn view_transaction(&self, members: Vec<HostId>) -> TableTxn {
         let router = &self.traffic.router;
-        let view: MembershipView = router.look(|core| core.share().next_view(members));
+        let view: MembershipView = router.inspect(|core| core.share().next_view(members));
         let key = TableKey::View.text();
         let token = format!("{}:view:{}", self.entry.host, view.version);
         let text = serde_json::to_string(&view).unwrap_or_default();
@@ -52,7 +55,9 @@
             .put(&key, &text)
     }
 
-    /// Takes this host out of the entry hosts, after its last request: from then on it uses no slot.
+    /// Builds the transaction that removes this host's entry and drain rows.
+    ///
+    /// To be committed after the host's last request: from then on it uses no slot.
     pub(super) fn leave_transaction(&self) -> (PlatformClient, TableTxn) {
         let txn = TableTxn::new(&format!("{}:leave", self.entry.host))
             .delete(&TableKey::Entry(&self.entry.host).text())
@@ -60,11 +65,11 @@
         (self.platform.clone(), txn)
     }
 
-    /// What this host tells the others.
+    /// The state that this host reports to other entry hosts, without latency windows.
     pub(super) fn own_news(&self) -> HostNews {
         let head = self.config.head();
         let router = &self.traffic.router;
-        let (view_version, leaving) = router.look(|core| (core.view_version(), core.leaving()));
+        let (view_version, leaving) = router.inspect(|core| (core.view_version(), core.leaving()));
         let held = self.owners.values().filter(|owner| owner.epoch() > 0);
         let rooms = held.map(|owner| owner.room());
         HostNews {
@@ -79,8 +84,8 @@
         }
     }
 
-    /// Tells a few other hosts what is known here, and hears what they know.
-    pub(super) fn tell_peers(&mut self) {
+    /// Exchanges state with up to [`PEERS_PER_EXCHANGE`] other entry hosts, chosen at random.
+    pub(super) fn exchange_with_peers(&mut self) {
         let own = &self.entry.host;
         let mut others: Vec<EntryRow> = self
             .entries
@@ -90,20 +95,23 @@
             .collect();
         others.shuffle(&mut rand::rng());
         let news = self.own_news();
-        for entry in others.into_iter().take(PEERS_AT_A_TIME) {
+        for entry in others.into_iter().take(PEERS_PER_EXCHANGE) {
             let links = self.links.clone();
             let mut news = news.clone();
-            news.latencies = self.windows_for(&entry.host);
+            news.latencies = self.windows_to_send(&entry.host);
             self.spawn(async move {
-                let told = links.exchange(&entry.host, entry.peer, &news).await;
-                told.ok().map(ControlEvent::Peer)
+                let answer = links.exchange(&entry.host, entry.peer, &news).await;
+                answer.ok().map(ControlEvent::PeerAnswered)
             });
         }
     }
 
-    /// The last windows of the workers whose shards `host` owns; each is told once, and to nobody else.
-    fn windows_for(&mut self, host: &HostId) -> Vec<LatencyWindow> {
-        if !self.told_windows.insert(host.clone()) {
+    /// The last latency windows of the workers whose shards `host` owns.
+    ///
+    /// Each window is sent only to the shard's owner, and only once: a second call for the same host in the same
+    /// window returns none.
+    fn windows_to_send(&mut self, host: &HostId) -> Vec<LatencyWindow> {
+        if !self.windows_sent_to.insert(host.clone()) {
             return Vec::new();
         }
         let is_owner = |worker: &WorkerId| {
@@ -119,8 +127,8 @@
             .collect()
     }
 
-    /// Takes in another host's news, whoever called.
-    pub(super) fn on_peer(&mut self, now: Millis, news: HostNews) {
+    /// Applies the state that another entry host reported, in its own call or in its answer to ours.
+    pub(super) fn handle_peer_news(&mut self, now: Millis, news: HostNews) {
         self.members.note_alive(now, &news.host, news.stopping);
         if news.view_version > self.view.1.version {
             self.due.rows = 0;
@@ -144,6 +152,6 @@
             digest: news.digest,
             ..HeadRow::default()
         };
-        self.hear_head(&head, Some(&news.host));
+        self.handle_head(&head, Some(&news.host));
     }
 }
--- a/crates/sandshelfd/src/daemon.rs
+++ b/crates/sandshelfd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads and faces, and stops them as planned.
+//! Starts the daemon's threads and endpoints, and stops them as planned.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -28,17 +28,17 @@
 use crate::operator::{operator_routes, OperatorShared};
 use crate::router::HostRouter;
 use crate::status::HostStatus;
-use crate::traffic::{CallerFace, LatencySeen, TrafficShared, TrafficView};
+use crate::traffic::{CallerEndpoint, LatencySample, TrafficShared, TrafficView};
 use crate::{backend, clock, logging, meters};
 
 /// How long a call to the platform is waited for.
-const PLATFORM_PATIENCE: Duration = Duration::from_millis(2_000);
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How many latencies may be on their way to the control thread.
-const LATENCY_CHANNEL: usize = 4_096;
+const LATENCY_CHANNEL_CAPACITY: usize = 4_096;
 /// How many questions may wait for the control thread.
-const QUESTION_CHANNEL: usize = 64;
+const QUESTION_CHANNEL_CAPACITY: usize = 64;
 /// How often a planned stop looks whether requests are still under way.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The longest that connections may stay open after the last answer, in seconds.
 const CLOSE_GRACE_S: u32 = 5;
 
@@ -68,7 +68,7 @@
 
 impl std::error::Error for DaemonFailure {}
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it is receiver to stop.
 pub fn run(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
     let _logger = logging::start().change_context(DaemonFailure::Logging)?;
     clock::now();
@@ -78,7 +78,7 @@
         .enable_all()
         .build()
         .change_context(DaemonFailure::Runtime)?;
-    runtime.block_on(run_faces(settings))
+    runtime.block_on(run_endpoints(settings))
 }
 
 /// Names this incarnation: the host's name and a number that no earlier one had.
@@ -87,30 +87,30 @@
     HostId::from(format!("{}.{number:016x}", settings.host))
 }
 
-async fn run_faces(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
+async fn run_endpoints(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
     let host = incarnation(&settings);
-    let platform = PlatformClient::new(settings.platform_address, PLATFORM_PATIENCE)
+    let platform = PlatformClient::new(settings.platform_address, PLATFORM_CALL_TIMEOUT)
         .change_context(DaemonFailure::Client)?;
-    let (latencies, latencies_in) = mpsc::channel(LATENCY_CHANNEL);
-    let (questions, questions_in) = mpsc::channel(QUESTION_CHANNEL);
+    let (latencies, latencies_in) = mpsc::channel(LATENCY_CHANNEL_CAPACITY);
+    let (questions, questions_in) = mpsc::channel(QUESTION_CHANNEL_CAPACITY);
     let traffic = make_traffic(&settings, &host, &platform, latencies)?;
     let operator = Arc::new(OperatorShared {
         status: RwLock::new(Arc::new(HostStatus::default())),
         questions,
         metrics: meters::install(),
     });
-    let faces = open_faces(&settings, &host, &traffic, &operator).await?;
+    let endpoints = open_endpoints(&settings, &host, &traffic, &operator).await?;
     let (stop, stop_in) = mpsc::channel(1);
     let (stopping, control_stopping) = mpsc::channel(1);
     let (stopped, control_stopped) = oneshot::channel();
     let drain = Duration::from_millis(settings.limits.drain_ms);
     start_control(ControlParts {
         settings,
-        entry: faces.entry,
+        entry: endpoints.entry,
         platform,
         traffic: traffic.clone(),
         operator,
-        peers: faces.peers,
+        peers: endpoints.peers,
         latencies: latencies_in,
         questions: questions_in,
         stop: stop_in,
@@ -122,7 +122,7 @@
         stop,
         control_stopping,
         control_stopped,
-        caller_stop: faces.caller_stop,
+        caller_stop: endpoints.caller_stop,
         drain,
     })
     .await;
@@ -135,7 +135,7 @@
     settings: &DaemonSettings,
     host: &HostId,
     platform: &PlatformClient,
-    latencies: mpsc::Sender<LatencySeen>,
+    latencies: mpsc::Sender<LatencySample>,
 ) -> Result<Arc<TrafficShared>, Report<DaemonFailure>> {
     Ok(Arc::new(TrafficShared {
         router: HostRouter::new(route_core(settings, host)),
@@ -153,27 +153,27 @@
     }))
 }
 
-/// The faces that are open.
-struct OpenFaces {
+/// The endpoints that are open.
+struct OpenEndpoints {
     entry: EntryRow,
     peers: TcpListener,
     caller_stop: Shutdown,
 }
 
 /// Opens the three addresses and logs where each listens.
-async fn open_faces(
+async fn open_endpoints(
     settings: &DaemonSettings,
     host: &HostId,
     traffic: &Arc<TrafficShared>,
     operator: &Arc<OperatorShared>,
-) -> Result<OpenFaces, Report<DaemonFailure>> {
-    let caller_face =
-        quiet_rocket(settings.caller_address).mount("/", CallerFace::routes(traffic.clone()));
-    let (caller, caller_stop) = launch(caller_face).await?;
-    let operator_face = quiet_rocket(settings.operator_address)
+) -> Result<OpenEndpoints, Report<DaemonFailure>> {
+    let caller_endpoint =
+        quiet_rocket(settings.caller_address).mount("/", CallerEndpoint::routes(traffic.clone()));
+    let (caller, caller_stop) = launch(caller_endpoint).await?;
+    let operator_endpoint = quiet_rocket(settings.operator_address)
         .manage(operator.clone())
         .mount("/", operator_routes());
-    let (operator, _) = launch(operator_face).await?;
+    let (operator, _) = launch(operator_endpoint).await?;
     let peers = TcpListener::bind(settings.peer_address)
         .await
         .change_context(DaemonFailure::Listen)?;
@@ -196,7 +196,7 @@
         operator,
         peer,
     };
-    Ok(OpenFaces {
+    Ok(OpenEndpoints {
         entry,
         peers,
         caller_stop,
@@ -236,13 +236,13 @@
 pub(crate) async fn launch(
     rocket: Rocket<Build>,
 ) -> Result<(SocketAddr, Shutdown), Report<DaemonFailure>> {
-    let (tell, told) = oneshot::channel();
-    let tell = std::sync::Mutex::new(Some(tell));
+    let (sender, receiver) = oneshot::channel();
+    let sender = std::sync::Mutex::new(Some(sender));
     let rocket = rocket.attach(AdHoc::on_liftoff("address", move |rocket| {
         let config = rocket.config();
         let address = SocketAddr::new(config.address, config.port);
-        if let Some(tell) = tell.lock().ok().and_then(|mut tell| tell.take()) {
-            let _ = tell.send((address, rocket.shutdown()));
+        if let Some(sender) = sender.lock().ok().and_then(|mut sender| sender.take()) {
+            let _ = sender.send((address, rocket.shutdown()));
         }
         Box::pin(async {})
     }));
@@ -251,7 +251,7 @@
             event("face_failed", &[("error", &error)]);
         }
     });
-    match told.await {
+    match receiver.await {
         Ok(found) => Ok(found),
         Err(_) => {
             let _ = face.await;
@@ -304,10 +304,10 @@
 async fn finish_traffic(handles: &StopHandles) {
     handles.caller_stop.clone().notify();
     while handles.traffic.router.open_requests() > 0 {
-        sleep(STOP_LOOK).await;
+        sleep(STOP_CHECK_INTERVAL).await;
     }
     // The last answers are on their way out through connections that close by themselves.
-    sleep(STOP_LOOK * 5).await;
+    sleep(STOP_CHECK_INTERVAL * 5).await;
 }
 
 pub(crate) async fn wait_for_signal() {
--- a/crates/sandshelfd/src/logging.rs
+++ b/crates/sandshelfd/src/logging.rs
@@ -13,7 +13,7 @@
 
 /// The most lines of one event in each second, unless the settings say otherwise; what is left out is counted in the
 /// next line.
-const LINES_PER_SECOND: u32 = 20;
+const DEFAULT_LINES_PER_SECOND: u32 = 20;
 /// How long a window of counting lasts, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
@@ -22,12 +22,12 @@
 
 #[derive(Default)]
 struct EventWindow {
-    since: u64,
+    window_start: u64,
     lines: u32,
     left_out: u64,
 }
 
-static LINE_LIMIT: AtomicU32 = AtomicU32::new(LINES_PER_SECOND);
+static LINE_LIMIT: AtomicU32 = AtomicU32::new(DEFAULT_LINES_PER_SECOND);
 static WINDOWS: LazyLock<Mutex<HashMap<&'static str, EventWindow>>> = LazyLock::new(Mutex::default);
 
 /// Starts logging to standard output; the level comes from `RUST_LOG`, else info.
@@ -81,8 +81,8 @@
     let now = clock::now();
     let mut windows = WINDOWS.lock().ok()?;
     let window = windows.entry(name).or_default();
-    if now >= window.since + WINDOW_MS {
-        window.since = now;
+    if now >= window.window_start + WINDOW_MS {
+        window.window_start = now;
         window.lines = 0;
     }
     if window.lines >= LINE_LIMIT.load(Ordering::Relaxed) {
--- a/crates/sandshelfd/src/meters.rs
+++ b/crates/sandshelfd/src/meters.rs
@@ -13,7 +13,7 @@
 /// Calls to the platform, by kind and outcome.
 const PLATFORM_CALLS: &str = "sandshelf_platform_calls_total";
 /// Upper bounds of the histograms' buckets, in seconds.
-const BUCKETS: [f64; 14] = [
+const HISTOGRAM_BUCKETS_S: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 60.0,
 ];
 
@@ -21,7 +21,7 @@
 pub fn install() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new();
     let builder = builder
-        .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &BUCKETS)
+        .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &HISTOGRAM_BUCKETS_S)
         .ok()?;
     builder.install_recorder().ok()
 }
--- a/crates/sandshelfd/src/peers.rs
+++ b/crates/sandshelfd/src/peers.rs
@@ -10,7 +10,7 @@
 use sandshelf_peer::{HostNews, PeerClient, PeerFault};
 
 /// How long a peer's answer is waited for.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Connections to the other entry hosts.
 #[derive(Default)]
@@ -50,7 +50,7 @@
         if let Some(link) = known {
             return Ok(link);
         }
-        let link = Rc::new(PeerClient::connect(address, PATIENCE).await?);
+        let link = Rc::new(PeerClient::connect(address, PEER_CALL_TIMEOUT).await?);
         self.links.borrow_mut().insert(host.clone(), link.clone());
         Ok(link)
     }
--- a/crates/sandshelfd/src/router.rs
+++ b/crates/sandshelfd/src/router.rs
@@ -66,8 +66,8 @@
     }
 
     /// Looks at the core.
-    pub fn look<T>(&self, look: impl FnOnce(&RouteCore) -> T) -> T {
-        look(&self.lock().core)
+    pub fn inspect<T>(&self, inspect: impl FnOnce(&RouteCore) -> T) -> T {
+        inspect(&self.lock().core)
     }
 
     /// How many requests have not had their final answer.
--- a/crates/sandshelfd/src/shards.rs
+++ b/crates/sandshelfd/src/shards.rs
@@ -13,7 +13,7 @@
 use crate::meters;
 
 /// Does one action and returns the event that answers it; a note has none, and rows are read by [`read_rows`].
-pub async fn carry_out(
+pub async fn perform_action(
     platform: &PlatformClient,
     shard: &ShardId,
     action: ShardAction,
@@ -26,7 +26,7 @@
             snapshot,
             after,
             to,
-        } => Some(load(platform, shard, snapshot, after, to).await),
+        } => Some(load_state(platform, shard, snapshot, after, to).await),
         ShardAction::StoreSnapshot { digest, bytes } => {
             let stored = platform.put_object(&digest, bytes.to_vec()).await.is_ok();
             meters::note_platform("snapshot", stored);
@@ -92,20 +92,20 @@
     }
 }
 
-async fn load(
+async fn load_state(
     platform: &PlatformClient,
     shard: &ShardId,
     snapshot: Option<String>,
     after: Sequence,
     to: Sequence,
 ) -> ShardEvent {
-    match try_load(platform, shard, snapshot, after, to).await {
+    match try_load_state(platform, shard, snapshot, after, to).await {
         Ok(event) => event,
         Err(_) => ShardEvent::StateLoadFailed,
     }
 }
 
-async fn try_load(
+async fn try_load_state(
     platform: &PlatformClient,
     shard: &ShardId,
     snapshot: Option<String>,
--- a/crates/sandshelfd/src/traffic.rs
+++ b/crates/sandshelfd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The face to callers: takes a request in whole, has it routed, and answers with a verdict.
+//! The face to callers: takes a request in latest_answer, has it routed, and answers with a verdict.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 
 /// Says whether a request ran; on every answer of ours.
 const VERDICT_HEADER: &str = "sandshelf-verdict";
-/// When to come back, in milliseconds; beside Retry-After, which counts whole seconds.
+/// When to come back, in milliseconds; beside Retry-After, which counts latest_answer seconds.
 const RETRY_HEADER: &str = "sandshelf-retry-after-ms";
 /// The caller's own time limit, in milliseconds.
 const DEADLINE_HEADER: &str = "sandshelf-deadline-ms";
 /// The caller's key for a request that must not be repeated.
 const KEY_HEADER: &str = "sandshelf-key";
 /// The longest key, in bytes.
-const LONGEST_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 /// When to come back after an answer that only a change of configuration can mend.
 const RETRY_LATER_MS: Millis = 30_000;
 /// When to come back while the store is out or no configuration is known.
@@ -50,7 +50,7 @@
 
 /// One answer's latency, for the control thread.
 #[derive(Clone, Debug)]
-pub struct LatencySeen {
+pub struct LatencySample {
     /// The service.
     pub service: sandshelf_model::ServiceId,
     /// The worker that the server stands on.
@@ -70,7 +70,7 @@
     /// The platform, for callers' keys.
     pub platform: PlatformClient,
     /// Latencies on their way to the control thread; dropped where it is busy.
-    pub latencies: Sender<LatencySeen>,
+    pub latencies: Sender<LatencySample>,
     /// The largest body, in bytes.
     pub max_body_bytes: u64,
     /// How long a caller may take to send a body.
@@ -128,14 +128,14 @@
 
 /// Takes every method and path.
 #[derive(Clone)]
-pub struct CallerFace {
+pub struct CallerEndpoint {
     shared: Arc<TrafficShared>,
 }
 
-impl CallerFace {
+impl CallerEndpoint {
     /// Makes the routes of the caller face.
     pub fn routes(shared: Arc<TrafficShared>) -> Vec<Route> {
-        let face = CallerFace { shared };
+        let face = CallerEndpoint { shared };
         let methods = [
             Method::Get,
             Method::Head,
@@ -153,16 +153,16 @@
 }
 
 #[rocket::async_trait]
-impl Handler for CallerFace {
+impl Handler for CallerEndpoint {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let answer = take_request(&self.shared, request, data).await;
+        let answer = handle_request(&self.shared, request, data).await;
         let closing = self.shared.closing.load(Ordering::Relaxed);
         Outcome::Success(to_response(answer, closing))
     }
 }
 
 /// Checks a request, takes its body in and has it served.
-async fn take_request(
+async fn handle_request(
     shared: &Arc<TrafficShared>,
     request: &Request<'_>,
     data: Data<'_>,
@@ -177,11 +177,11 @@
         let reason = "no service of that name is declared";
         return FinalAnswer::not_run(Status::NotFound, RETRY_LATER_MS, reason);
     };
-    let body = match take_body(shared, data).await {
+    let body = match read_body(shared, data).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
-    let (deadline, key) = match read_wishes(request, &service) {
+    let (deadline, key) = match read_request_options(request, &service) {
         Ok(wishes) => wishes,
         Err(reason) => return FinalAnswer::not_run(Status::BadRequest, RETRY_LATER_MS, reason),
     };
@@ -206,10 +206,10 @@
     }
 }
 
-async fn take_body(shared: &TrafficShared, data: Data<'_>) -> Result<Vec<u8>, FinalAnswer> {
-    let patience = Duration::from_millis(shared.body_timeout_ms);
+async fn read_body(shared: &TrafficShared, data: Data<'_>) -> Result<Vec<u8>, FinalAnswer> {
+    let timeout = Duration::from_millis(shared.body_timeout_ms);
     let limit = shared.max_body_bytes.bytes();
-    let read = tokio::time::timeout(patience, data.open(limit).into_bytes()).await;
+    let read = tokio::time::timeout(timeout, data.open(limit).into_bytes()).await;
     match read {
         Ok(Ok(body)) if body.is_complete() => Ok(body.into_inner()),
         Ok(Ok(_)) => Err(FinalAnswer::not_run(
@@ -231,28 +231,28 @@
 }
 
 /// Reads the caller's deadline and key.
-fn read_wishes(
+fn read_request_options(
     request: &Request<'_>,
     service: &ServiceSpec,
 ) -> Result<(Millis, Option<String>), &'static str> {
-    let asked = match request.headers().get_one(DEADLINE_HEADER) {
+    let requested_ms = match request.headers().get_one(DEADLINE_HEADER) {
         Some(text) => text
             .parse::<Millis>()
             .map_err(|_| "sandshelf-deadline-ms is not a whole number")?,
         None => service.deadline_ms,
     };
     let key = request.headers().get_one(KEY_HEADER).map(str::to_owned);
-    let sound = |key: &String| {
+    let is_valid = |key: &String| {
         !key.is_empty()
-            && key.len() <= LONGEST_KEY
+            && key.len() <= MAX_KEY_BYTES
             && key
                 .bytes()
                 .all(|byte| byte.is_ascii_graphic() && byte != b'/')
     };
-    if key.as_ref().is_some_and(|key| !sound(key)) {
+    if key.as_ref().is_some_and(|key| !is_valid(key)) {
         return Err("sandshelf-key has to be 1 to 200 printable characters without a slash");
     }
-    Ok((clock::now() + asked.min(service.deadline_ms), key))
+    Ok((clock::now() + requested_ms.min(service.deadline_ms), key))
 }
 
 fn caller_headers(request: &Request<'_>) -> HeaderMap {
@@ -286,7 +286,7 @@
         deadline,
     };
     shared.router.handle(RouteEvent::Arrived(info));
-    let answer = follow(&shared, &service, &request, number, deadline, mailbox).await;
+    let answer = follow_router(&shared, &service, &request, number, deadline, mailbox).await;
     shared.router.close(number);
     if let (Some(claim), RunVerdict::NotRun) = (&claim, answer.verdict()) {
         release_key(&shared.platform, claim, &token).await;
@@ -314,7 +314,7 @@
             retry_after: None,
             reason: "a request with this key was taken in before; it may have run",
         }),
-        ClaimOutcome::StoreOut => Err(FinalAnswer::not_run(
+        ClaimOutcome::StoreUnavailable => Err(FinalAnswer::not_run(
             Status::ServiceUnavailable,
             RETRY_SOON_MS,
             "the key can't be recorded while the platform's store does not answer",
@@ -323,7 +323,7 @@
 }
 
 /// Does what the router says until the final answer.
-async fn follow(
+async fn follow_router(
     shared: &TrafficShared,
     service: &ServiceSpec,
     request: &CallerRequest,
@@ -331,12 +331,12 @@
     deadline: Millis,
     mut mailbox: UnboundedReceiver<RouteAction>,
 ) -> FinalAnswer {
-    let mut whole: Option<BackendAnswer> = None;
+    let mut latest_answer: Option<BackendAnswer> = None;
     while let Some(action) = mailbox.recv().await {
         match action {
             RouteAction::Dispatch { server, .. } => {
-                let (answer, end) = send_on(shared, service, request, &server, deadline).await;
-                whole = answer;
+                let (answer, end) = forward(shared, service, request, &server, deadline).await;
+                latest_answer = answer;
                 let event = RouteEvent::Ended {
                     request: number,
                     end,
@@ -344,7 +344,7 @@
                 shared.router.handle(event);
             }
             RouteAction::Deliver { .. } => {
-                if let Some(answer) = whole.take() {
+                if let Some(answer) = latest_answer.take() {
                     return FinalAnswer::Ran(answer);
                 }
             }
@@ -377,7 +377,7 @@
     }
 }
 
-async fn send_on(
+async fn forward(
     shared: &TrafficShared,
     service: &ServiceSpec,
     request: &CallerRequest,
@@ -388,13 +388,13 @@
     let Some((address, worker)) = view.servers.get(server) else {
         return (None, AttemptEnd::NotRun);
     };
-    let patience = clock::until(deadline);
+    let timeout = clock::until(deadline);
     let max_body = shared.max_body_bytes;
-    let attempt = backend::attempt(&shared.client, *address, request, patience, max_body);
+    let attempt = backend::attempt(&shared.client, *address, request, timeout, max_body);
     let (result, latency_ms) = attempt.await;
     match result {
         Ok(answer) => {
-            let _ = shared.latencies.try_send(LatencySeen {
+            let _ = shared.latencies.try_send(LatencySample {
                 service: service.name.clone(),
                 worker: worker.clone(),
                 latency_ms,
