--- a/crates/sandshelfd/src/backend.rs
+++ b/crates/sandshelfd/src/backend.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a backend server and takes in its whole answer.
+//! Sends a request to a backend server and reads its whole answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 
 use crate::clock::SteadyInstant;
 
-/// The header by which a backend server says that it did not run a request, and why.
+/// The response header by which a backend server says that it did not run a request, and why.
 pub const REFUSED_HEADER: &str = "sandshelf-refused";
-/// What that header says where the server is leaving.
+/// The value of [`REFUSED_HEADER`] where the server is leaving.
 const REFUSED_LEAVING: &str = "leaving";
-/// Idle connections that are kept to one server.
+/// The maximum number of idle connections kept open to one server.
 const MAX_IDLE_CONNECTIONS: usize = 6;
 
-/// A caller's request as it is sent on.
+/// A caller's request as it is forwarded to a backend server.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
     /// The method.
     pub method: Method,
-    /// The path with its query.
+    /// The path with the query.
     pub target: String,
-    /// The headers, without those of the connection.
+    /// The headers, without the hop-by-hop headers and without `host`.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Vec<u8>,
@@ -34,18 +34,18 @@
 /// A backend server's whole answer.
 #[derive(Clone, Debug)]
 pub struct BackendAnswer {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers, without those of the connection.
+    /// The headers, without the hop-by-hop headers.
     pub headers: Vec<(String, String)>,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// How an attempt ended, with its answer where there is a whole one.
+/// The outcome of an attempt: the whole answer, or how the attempt ended without one.
 pub type AttemptResult = Result<BackendAnswer, AttemptEnd>;
 
-/// Headers that belong to one connection and are not sent on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -59,12 +59,12 @@
     "content-length",
 ];
 
-/// Whether a header is sent on.
+/// Whether a header is forwarded; compares names without regard to case.
 pub fn is_end_to_end(name: &str) -> bool {
     !HOP_BY_HOP.contains(&name.to_ascii_lowercase().as_str())
 }
 
-/// Makes the client of the backend servers.
+/// Creates the HTTP client for calls to backend servers.
 pub fn make_client() -> Result<Client, reqwest::Error> {
     Client::builder()
         .redirect(Policy::none())
@@ -74,7 +74,10 @@
         .build()
 }
 
-/// Sends `request` to `server`; an answer that is not whole is none.
+/// Sends `request` to `server` once; returns the outcome and the time that it took.
+///
+/// An answer that is incomplete after `timeout`, cut off, or larger than `max_body` bytes counts as no answer: the request
+/// may have run.
 pub async fn attempt(
     client: &Client,
     server: SocketAddr,
@@ -144,7 +147,7 @@
         .collect()
 }
 
-/// Adds a caller's header to those that are sent on.
+/// Adds a caller's header to the forwarded ones, unless it is hop-by-hop, `host`, or not valid.
 pub fn add_header(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::from_bytes(name.as_bytes());
     let value = HeaderValue::from_str(value);
--- a/crates/sandshelfd/src/cli.rs
+++ b/crates/sandshelfd/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, turned into one checked options value.
+//! Parses the command line into one validated options value and runs what it requests.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,9 +10,9 @@
 use crate::daemon::{self, DaemonFailure};
 use crate::jobs;
 
-/// Exit code for a wrong command line or settings file.
+/// The exit code for an invalid command line or settings file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code for a daemon that could not go on.
+/// The exit code for a daemon that failed.
 const EXIT_FAILED: u8 = 1;
 
 const HELP: &str = "\
@@ -34,7 +34,7 @@
 /// A message for standard error and the exit code that goes with it.
 #[derive(Debug)]
 pub struct CliFailure {
-    /// What is wrong and the way out.
+    /// What is wrong and how to fix it.
     pub message: String,
     /// The exit code.
     pub code: u8,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the command line asks for.
+/// The action that the command line requests.
 enum CliOptions {
     Help,
     Version,
@@ -58,7 +58,7 @@
     RunJobs(PathBuf, JobSettings),
 }
 
-/// Reads the command line and does what it asks for.
+/// Parses the command line and performs the requested action.
 pub fn run() -> Result<(), CliFailure> {
     match read_options()? {
         CliOptions::Help => println!("{HELP}"),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Which settings file was named.
+/// The settings file given on the command line, by the kind of daemon that it configures.
 enum SettingsPath {
     Requests(PathBuf),
     Jobs(PathBuf),
--- a/crates/sandshelfd/src/daemon.rs
+++ b/crates/sandshelfd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads and endpoints, and stops them as planned.
+//! Starts the daemon's threads and endpoints, and shuts them down gracefully.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -31,27 +31,28 @@
 use crate::traffic::{CallerEndpoint, LatencySample, TrafficShared, TrafficView};
 use crate::{backend, clock, logging, meters};
 
-/// How long a call to the platform is waited for.
+/// The timeout of a call to the platform.
 const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How many latencies may be on their way to the control thread.
+/// The maximum number of latency samples queued for the control thread; further samples are dropped.
 const LATENCY_CHANNEL_CAPACITY: usize = 4_096;
-/// How many questions may wait for the control thread.
+/// The maximum number of explain requests queued for the control thread.
 const QUESTION_CHANNEL_CAPACITY: usize = 64;
-/// How often a planned stop looks whether requests are still under way.
+/// The interval at which a graceful shutdown checks whether requests are still in flight.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest that connections may stay open after the last answer, in seconds.
+/// The maximum time for which connections may stay open after the last answer, in seconds; used for both of Rocket's
+/// shutdown phases.
 const CLOSE_GRACE_S: u32 = 5;
 
-/// Says what kept the daemon from going on.
+/// The reason why the daemon can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonFailure {
-    /// The logger can't be started.
+    /// Logging can't be started.
     Logging,
     /// A thread or a runtime can't be started.
     Runtime,
-    /// An address can't be listened on.
+    /// An address from the settings can't be bound.
     Listen,
-    /// An HTTP client can't be made.
+    /// An HTTP client can't be created.
     Client,
 }
 
@@ -60,15 +61,15 @@
         formatter.write_str(match self {
             DaemonFailure::Logging => "the logger can't be started",
             DaemonFailure::Runtime => "a thread can't be started",
-            DaemonFailure::Listen => "an address of the settings can't be listened on",
-            DaemonFailure::Client => "an HTTP client can't be made",
+            DaemonFailure::Listen => "an address from the settings can't be bound",
+            DaemonFailure::Client => "an HTTP client can't be created",
         })
     }
 }
 
 impl std::error::Error for DaemonFailure {}
 
-/// Runs the daemon until it is receiver to stop.
+/// Runs the daemon until a graceful shutdown is complete.
 pub fn run(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
     let _logger = logging::start().change_context(DaemonFailure::Logging)?;
     clock::now();
@@ -81,7 +82,7 @@
     runtime.block_on(run_endpoints(settings))
 }
 
-/// Names this incarnation: the host's name and a number that no earlier one had.
+/// The name of this incarnation of the daemon: the host's name and a random 64-bit number that tells it from earlier ones.
 fn incarnation(settings: &DaemonSettings) -> HostId {
     let number: u64 = rand::rng().random();
     HostId::from(format!("{}.{number:016x}", settings.host))
@@ -130,7 +131,7 @@
     Ok(())
 }
 
-/// Makes what the traffic threads share.
+/// Creates the state shared by the traffic threads.
 fn make_traffic(
     settings: &DaemonSettings,
     host: &HostId,
@@ -153,14 +154,14 @@
     }))
 }
 
-/// The endpoints that are open.
+/// The endpoints that are listening.
 struct OpenEndpoints {
     entry: EntryRow,
     peers: TcpListener,
     caller_stop: Shutdown,
 }
 
-/// Opens the three addresses and logs where each listens.
+/// Opens the caller, operator and peer endpoints and logs the address of each.
 async fn open_endpoints(
     settings: &DaemonSettings,
     host: &HostId,
@@ -232,7 +233,7 @@
     .attach(Shield::new())
 }
 
-/// Launches a face; returns where it listens and how to stop it.
+/// Launches an HTTP endpoint; returns the address on which it listens and its shutdown handle.
 pub(crate) async fn launch(
     rocket: Rocket<Build>,
 ) -> Result<(SocketAddr, Shutdown), Report<DaemonFailure>> {
@@ -246,7 +247,7 @@
         }
         Box::pin(async {})
     }));
-    let face = tokio::spawn(async move {
+    let server = tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
             event("face_failed", &[("error", &error)]);
         }
@@ -254,13 +255,13 @@
     match receiver.await {
         Ok(found) => Ok(found),
         Err(_) => {
-            let _ = face.await;
+            let _ = server.await;
             Err(Report::new(DaemonFailure::Listen))
         }
     }
 }
 
-/// Starts the one thread that holds all control state.
+/// Starts the control thread, which owns all control state.
 fn start_control(parts: ControlParts) -> Result<(), Report<DaemonFailure>> {
     let run = move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
@@ -283,8 +284,8 @@
     drain: Duration,
 }
 
-/// Waits for a signal, or for the control thread to end, and stops in order:
-/// unready first, shards released, requests under way finished, connections closed.
+/// Waits for a signal, an operator's drain or the end of the control thread, then shuts down in order: readiness
+/// withdrawn, shards released, requests in flight finished, connections closed.
 async fn wait_and_stop(mut handles: StopHandles) {
     tokio::select! {
         () = wait_for_signal() => event("stopping", &[("cause", &"signal")]),
@@ -306,7 +307,7 @@
     while handles.traffic.router.open_requests() > 0 {
         sleep(STOP_CHECK_INTERVAL).await;
     }
-    // The last answers are on their way out through connections that close by themselves.
+    // The last answers may still be in transit; their connections close by themselves.
     sleep(STOP_CHECK_INTERVAL * 5).await;
 }
 
--- a/crates/sandshelfd/src/logging.rs
+++ b/crates/sandshelfd/src/logging.rs
@@ -1,4 +1,4 @@
-//! One line of key=value pairs for each event, bounded in a flood.
+//! Logs one line of key=value pairs for each event, with a rate limit per event name.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -11,13 +11,14 @@
 
 use crate::clock;
 
-/// The most lines of one event in each second, unless the settings say otherwise; what is left out is counted in the
-/// next line.
+/// The maximum number of lines per second for one event, unless the settings give another.
+///
+/// The event's next line carries the number of lines left out before it, as `left_out`.
 const DEFAULT_LINES_PER_SECOND: u32 = 20;
-/// How long a window of counting lasts, in milliseconds.
+/// The length of the window over which an event's lines are counted, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 
-/// A pair in a log line.
+/// A key and its value in a log line.
 pub type LogPair<'a> = (&'a str, &'a dyn std::fmt::Display);
 
 #[derive(Default)]
@@ -30,7 +31,7 @@
 static LINE_LIMIT: AtomicU32 = AtomicU32::new(DEFAULT_LINES_PER_SECOND);
 static WINDOWS: LazyLock<Mutex<HashMap<&'static str, EventWindow>>> = LazyLock::new(Mutex::default);
 
-/// Starts logging to standard output; the level comes from `RUST_LOG`, else info.
+/// Starts logging to standard output, at the level in `RUST_LOG` or at info without it.
 pub fn start() -> Result<LoggerHandle, flexi_logger::FlexiLoggerError> {
     Logger::try_with_env_or_str("info, rocket=off, hyper=off, reqwest=off")?
         .log_to_stdout()
@@ -48,19 +49,21 @@
     write!(writer, "time={time} level={level} {}", record.args())
 }
 
-/// Sets how many lines of one event are written in each second.
-pub fn limit_lines(most: u32) {
-    LINE_LIMIT.store(most, Ordering::Relaxed);
+/// Sets the maximum number of lines per second for one event.
+pub fn limit_lines(lines_per_second: u32) {
+    LINE_LIMIT.store(lines_per_second, Ordering::Relaxed);
 }
 
-/// Logs one event.
+/// Logs one event, unless the event's rate limit is reached; the line is then only counted.
 pub fn event(name: &'static str, pairs: &[LogPair<'_>]) {
     if let Some(left_out) = admit(name) {
         write_event(name, pairs, left_out);
     }
 }
 
-/// Logs one event of a kind of which none may be left out; whatever it tells of bounds how many there are.
+/// Logs one event without a rate limit.
+///
+/// For events of which no line may be left out and whose cause itself bounds their number.
 pub fn event_always(name: &'static str, pairs: &[LogPair<'_>]) {
     write_event(name, pairs, 0);
 }
@@ -76,7 +79,7 @@
     log::info!("{line}");
 }
 
-/// Counts a line; returns how many were left out before it, or none where this one is left out.
+/// Counts a line of an event; returns the number of lines left out before it, or none where this line is to be left out.
 fn admit(name: &'static str) -> Option<u64> {
     let now = clock::now();
     let mut windows = WINDOWS.lock().ok()?;
@@ -93,7 +96,8 @@
     Some(std::mem::take(&mut window.left_out))
 }
 
-/// Quotes a value that would break the line into other pairs.
+/// The text of a value in a log line, quoted where it is empty or has a space, a quote or `=`, which would break up the
+/// line's pairs.
 fn quoted(text: &str) -> String {
     let plain = !text.is_empty()
         && text
--- a/crates/sandshelfd/src/main.rs
+++ b/crates/sandshelfd/src/main.rs
@@ -1,4 +1,4 @@
-//! The sandshelf daemon of an entry host.
+//! The sandshelf daemon, which runs on each entry host.
 
 mod backend;
 mod claim;
--- a/crates/sandshelfd/src/meters.rs
+++ b/crates/sandshelfd/src/meters.rs
@@ -1,23 +1,25 @@
-//! Names of the metrics, and what is counted where.
+//! The names of the daemon's metrics and the functions that record them.
 
 use metrics::{counter, gauge, histogram};
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
 use sandshelf_model::{RunVerdict, ServiceId, TeamId};
 
-/// Requests by class and verdict.
+/// Counts finished requests, by class and verdict.
 const REQUESTS: &str = "sandshelf_requests_total";
-/// Seconds from a request's arrival to its final answer, by class.
+/// Histogram of the seconds from a request's arrival to its final answer, by class.
 const REQUEST_SECONDS: &str = "sandshelf_request_seconds";
-/// Seconds that tasks waited for a place, by team.
+/// Histogram of the seconds that tasks waited until they were placed, by team.
 const START_DELAY_SECONDS: &str = "sandshelf_start_delay_seconds";
-/// Calls to the platform, by kind and outcome.
+/// Counts calls to the platform, by kind and outcome.
 const PLATFORM_CALLS: &str = "sandshelf_platform_calls_total";
-/// Upper bounds of the histograms' buckets, in seconds.
+/// The upper bounds of the histogram buckets, in seconds.
 const HISTOGRAM_BUCKETS_S: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 60.0,
 ];
 
-/// Installs the recorder; the handle renders the text that `/metrics` serves.
+/// Installs the process-wide metrics recorder.
+///
+/// The handle renders the text that `/metrics` serves; none where a recorder can't be installed.
 pub fn install() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new();
     let builder = builder
@@ -26,32 +28,32 @@
     builder.install_recorder().ok()
 }
 
-/// Counts a final answer.
+/// Records the final answer to a request and the time that it took.
 pub fn note_request(class: &ServiceId, verdict: RunVerdict, seconds: f64) {
     let class = class.to_string();
     counter!(REQUESTS, "class" => class.clone(), "verdict" => verdict.label()).increment(1);
     histogram!(REQUEST_SECONDS, "class" => class).record(seconds);
 }
 
-/// Counts the time that a task waited.
+/// Records how long a task waited until it was placed.
 pub fn note_start(team: &TeamId, seconds: f64) {
     histogram!(START_DELAY_SECONDS, "team" => team.to_string()).record(seconds);
 }
 
-/// Counts a call to the platform.
+/// Counts a call to the platform; `kind` becomes a label of the metric.
 pub fn note_platform(kind: &'static str, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
     counter!(PLATFORM_CALLS, "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// Shows how many shards this host holds, and how many tasks wait and run in them.
+/// Sets the gauges of the shards that this host owns and of the tasks that wait and are placed in them.
 pub fn show_shards(held: usize, waiting: usize, placed: usize) {
     gauge!("sandshelf_shards_held").set(held as f64);
     gauge!("sandshelf_tasks_waiting").set(waiting as f64);
     gauge!("sandshelf_tasks_placed").set(placed as f64);
 }
 
-/// Shows the configuration in force.
+/// Sets the gauge of the revision of the configuration in force.
 pub fn show_revision(revision: u64) {
     gauge!("sandshelf_config_revision").set(revision as f64);
 }
--- a/crates/sandshelfd/src/operator.rs
+++ b/crates/sandshelfd/src/operator.rs
@@ -1,4 +1,4 @@
-//! The face to operators and to the balancer's health checks.
+//! The operator endpoint, which also answers the load balancer's health checks.
 
 use std::sync::{Arc, RwLock};
 
@@ -10,21 +10,21 @@
 
 use crate::status::{ExplainAnswer, HostStatus};
 
-/// A question for the control thread.
+/// An operator's explain request, answered by the control thread.
 pub struct ExplainQuestion {
-    /// A task, a job or a class of requests.
+    /// The task (`JOB/INDEX`), job or class of requests to explain.
     pub subject: String,
-    /// Where the answer goes.
+    /// The channel for the answer.
     pub reply: oneshot::Sender<ExplainAnswer>,
 }
 
-/// All that the operator face needs.
+/// The state shared with the handlers of the operator endpoint.
 pub struct OperatorShared {
-    /// The published status; replaced, never changed.
+    /// The status last published; replaced as a whole, never modified.
     pub status: RwLock<Arc<HostStatus>>,
-    /// Questions for the control thread.
+    /// Explain requests to the control thread.
     pub questions: mpsc::Sender<ExplainQuestion>,
-    /// Renders the metrics.
+    /// Renders the metrics; none where the recorder could not be installed.
     pub metrics: Option<PrometheusHandle>,
 }
 
@@ -34,7 +34,7 @@
         status.unwrap_or_else(|broken| broken.into_inner()).clone()
     }
 
-    /// Publishes a new status.
+    /// Replaces the status.
     pub fn publish(&self, status: HostStatus) {
         let mut current = self
             .status
@@ -44,18 +44,18 @@
     }
 }
 
-/// The routes of the operator face.
+/// The routes of the operator endpoint.
 pub fn operator_routes() -> Vec<Route> {
     routes![health, ready, metrics, status, explain]
 }
 
-/// Answers while the process lives.
+/// Liveness check: answers 200 while the process runs.
 #[get("/health")]
 fn health() -> &'static str {
     "alive\n"
 }
 
-/// Answers 200 only while callers may be sent here.
+/// Readiness check: answers 200 while callers may be routed to this host, else 503.
 #[get("/ready")]
 fn ready(shared: &State<Arc<OperatorShared>>) -> (Status, &'static str) {
     if shared.status().ready {
--- a/crates/sandshelfd/src/peers.rs
+++ b/crates/sandshelfd/src/peers.rs
@@ -1,4 +1,4 @@
-//! Exchanges news with the other entry hosts, a few at a time.
+//! Connections to the other entry hosts, kept open between calls.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,17 +9,19 @@
 use sandshelf_model::HostId;
 use sandshelf_peer::{HostNews, PeerClient, PeerFault};
 
-/// How long a peer's answer is waited for.
+/// The timeout for connecting to another entry host, and the longest that it may send nothing during a call.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Connections to the other entry hosts.
+/// The open connections to other entry hosts, by host.
 #[derive(Default)]
 pub struct PeerLinks {
     links: RefCell<HashMap<HostId, Rc<PeerClient>>>,
 }
 
 impl PeerLinks {
-    /// Tells `host` what is known here and returns what it knows.
+    /// Sends this host's state to `host` and returns that host's state.
+    ///
+    /// Connects where there is no connection yet; a connection on which the call failed is dropped.
     pub async fn exchange(
         &self,
         host: &HostId,
@@ -34,7 +36,9 @@
         answer
     }
 
-    /// Asks `host` for a configuration's bytes.
+    /// Fetches the bytes of the configuration with this digest from `host`.
+    ///
+    /// None where the host does not have it in force or does not answer.
     pub async fn configuration(
         &self,
         host: &HostId,
--- a/crates/sandshelfd/src/router.rs
+++ b/crates/sandshelfd/src/router.rs
@@ -1,4 +1,4 @@
-//! The router shared by the traffic threads: the sans-I/O core behind a lock, and a mailbox for each request.
+//! The router shared by the traffic threads: the sans-I/O core behind a lock, and a channel of actions for each request.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,14 +14,14 @@
     mailboxes: HashMap<u64, UnboundedSender<RouteAction>>,
 }
 
-/// The router of one entry host.
+/// The router of one entry host; may be shared between threads.
 pub struct HostRouter {
     state: Mutex<RouterState>,
     next_request: AtomicU64,
 }
 
 impl HostRouter {
-    /// Wraps a core.
+    /// Creates a router around a core, without any open request.
     pub fn new(core: RouteCore) -> Self {
         Self {
             state: Mutex::new(RouterState {
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Gives out a request number.
+    /// Returns a new request number, unique in this process.
     pub fn next_request(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Opens the mailbox of a request.
+    /// Opens the mailbox of a request, on which it receives its actions.
     pub fn open(&self, request: u64) -> UnboundedReceiver<RouteAction> {
         let (sender, receiver) = unbounded_channel();
         self.lock().mailboxes.insert(request, sender);
@@ -49,7 +49,9 @@
         self.lock().mailboxes.remove(&request);
     }
 
-    /// Hands an event to the core and its actions to the mailboxes.
+    /// Passes an event to the core and sends each resulting action to its request's mailbox.
+    ///
+    /// An action for a request without a mailbox is dropped.
     pub fn handle(&self, event: RouteEvent) {
         let mut state = self.lock();
         let actions = state.core.handle(clock::now(), event);
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Looks at the core.
+    /// Calls `inspect` with the core and returns its result; the router is locked meanwhile.
     pub fn inspect<T>(&self, inspect: impl FnOnce(&RouteCore) -> T) -> T {
         inspect(&self.lock().core)
     }
 
-    /// How many requests have not had their final answer.
+    /// The number of requests with an open mailbox, those without a final answer.
     pub fn open_requests(&self) -> usize {
         self.lock().mailboxes.len()
     }
--- a/crates/sandshelfd/src/shards.rs
+++ b/crates/sandshelfd/src/shards.rs
@@ -1,4 +1,4 @@
-//! Carries out what shard owners ask for: calls to the platform and to workers.
+//! Performs the actions of shard owners: calls to the platform and to workers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,7 +12,10 @@
 
 use crate::meters;
 
-/// Does one action and returns the event that answers it; a note has none, and rows are read by [`read_rows`].
+/// Performs one action and returns the event with its result.
+///
+/// None for a note and for an inbox that can't be read. [`ShardAction::ReadRow`] is not performed here: [`read_rows`]
+/// reads the rows of several shards together.
 pub async fn perform_action(
     platform: &PlatformClient,
     shard: &ShardId,
@@ -50,7 +53,9 @@
     }
 }
 
-/// Reads the rows of these shards in one call, however many they are.
+/// Reads the rows of any number of shards in one call.
+///
+/// A failed call gives [`ShardEvent::RowReadFailed`] for each of them.
 pub async fn read_rows(
     platform: &PlatformClient,
     shards: &BTreeSet<ShardId>,
--- a/crates/sandshelfd/src/status.rs
+++ b/crates/sandshelfd/src/status.rs
@@ -1,148 +1,148 @@
-//! What a daemon tells operators about itself.
+//! The status that a daemon reports to operators, as served in JSON.
 
 use sandshelf_lease::{OwnerCounts, RecordStats};
 use sandshelf_model::{Epoch, ResourceSize, Revision};
 use serde::Serialize;
 
-/// One entry host.
+/// The status of one entry host.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HostStatus {
-    /// The daemon's incarnation.
+    /// The name of this incarnation of the daemon.
     pub host: String,
-    /// Its hall.
+    /// The hall of the host.
     pub hall: String,
-    /// Whether callers may be sent here.
+    /// Whether callers may be routed to this host.
     pub ready: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
-    /// The configuration in force here.
+    /// The revision of the configuration in force on this host.
     pub revision: Revision,
-    /// Its digest.
+    /// The digest of that configuration.
     pub digest: String,
-    /// The view of the backend servers' slots in use here.
+    /// The version of the membership view in use, which divides the backend servers' slots.
     pub view_version: u64,
-    /// The hosts of that view.
+    /// The entry hosts in the membership view last read.
     pub members: Vec<String>,
-    /// Shards that this host owns.
+    /// The shards that this host owns.
     pub shards: Vec<ShardStatus>,
-    /// Requests.
+    /// The counts of callers' requests.
     pub requests: RequestStatus,
-    /// Backend servers with a share here.
+    /// The backend servers known to this host.
     pub servers: Vec<ServerStatus>,
 }
 
-/// Requests of one entry host.
+/// The requests of one entry host, counted since the daemon started.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestStatus {
-    /// Arrived so far.
+    /// Requests that have arrived.
     pub arrived: u64,
-    /// Answered so far.
+    /// Requests answered by a backend server.
     pub delivered: u64,
-    /// Not run so far.
+    /// Requests that were not run.
     pub refused: u64,
-    /// Of unknown fate so far.
+    /// Requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// Second and later attempts so far.
+    /// Second and later attempts.
     pub retries: u64,
-    /// Under way.
+    /// Requests in flight to a backend server now.
     pub in_flight: usize,
-    /// Waiting for a slot.
+    /// Requests that wait for a slot now.
     pub waiting: usize,
 }
 
 /// One backend server as an entry host sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerStatus {
-    /// The server.
+    /// The name of the server.
     pub server: String,
-    /// Its service.
+    /// The service that it serves.
     pub service: String,
-    /// Whether it is leaving.
+    /// Whether it is leaving and gets no new requests.
     pub leaving: bool,
-    /// Slots that this host may use.
+    /// The number of its slots that this host may use.
     pub share: u32,
-    /// Requests under way from this host.
+    /// Requests in flight from this host.
     pub in_flight: u32,
-    /// Recent latency in milliseconds.
+    /// The recent latency, in milliseconds.
     pub latency_ms: f64,
 }
 
 /// One shard that a host owns.
 #[derive(Clone, Debug, Serialize)]
 pub struct ShardStatus {
-    /// The shard.
+    /// The name of the shard.
     pub shard: String,
-    /// Counts its owners.
+    /// The epoch of this host's ownership; each new owner has a higher one.
     pub epoch: Epoch,
-    /// Whether its lease stands.
+    /// Whether the ownership lease is valid now.
     pub valid: bool,
-    /// Tasks that wait.
+    /// Tasks that wait to be placed.
     pub waiting: usize,
-    /// Attempts that are placed.
+    /// Tasks placed on a worker.
     pub placed: usize,
-    /// Counts of records.
+    /// Counts of applied and stale journal records.
     pub stats: RecordStats,
-    /// Counts of messages.
+    /// Counts of the owner's operations.
     pub counts: OwnerCounts,
-    /// Slices of the teams' quotas.
+    /// This shard's slices of the teams' quotas.
     pub quotas: Vec<QuotaStatus>,
-    /// Its workers.
+    /// The workers of the shard.
     pub workers: Vec<WorkerStatus>,
-    /// Its jobs.
+    /// The jobs with tasks in the shard.
     pub jobs: Vec<JobStatus>,
 }
 
-/// One team's slice in one shard.
+/// One shard's slice of one team's quota.
 #[derive(Clone, Debug, Serialize)]
 pub struct QuotaStatus {
-    /// The team.
+    /// The name of the team.
     pub team: String,
-    /// Its slice.
+    /// The slice that the shard may use.
     pub slice: ResourceSize,
-    /// What its running tasks hold.
+    /// The part of it that placed tasks occupy.
     pub held: ResourceSize,
 }
 
-/// One worker.
+/// One worker as its shard's owner sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkerStatus {
-    /// The worker.
+    /// The name of the worker.
     pub worker: String,
-    /// Whether it has taken in this owner's epoch.
+    /// Whether it has accepted this owner's epoch and sent its inventory since.
     pub fenced: bool,
-    /// Whether it is to be emptied.
+    /// Whether it is being drained.
     pub leaving: bool,
-    /// What is free.
+    /// The free capacity.
     pub free: ResourceSize,
-    /// What runs there.
+    /// The attempts placed on it.
     pub attempts: Vec<String>,
 }
 
 /// One job's tasks in one shard, counted by stage.
 #[derive(Clone, Debug, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// The name of the job.
     pub job: String,
-    /// The team.
+    /// The team that the job belongs to.
     pub team: String,
-    /// Whether it is a standing watch.
+    /// Whether the job is a standing watch.
     pub watch: bool,
-    /// Stages with how many tasks are in each.
+    /// The number of tasks in each stage.
     pub stages: Vec<StageCount>,
 }
 
-/// How many tasks are in a stage.
+/// The number of a job's tasks in one stage.
 #[derive(Clone, Debug, Serialize)]
 pub struct StageCount {
-    /// The stage.
+    /// The label of the stage.
     pub stage: String,
-    /// How many.
+    /// The number of tasks.
     pub tasks: usize,
 }
 
-/// Recorded reasons, in the order in which they matter.
+/// The answer to an explain request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ExplainAnswer {
-    /// One reason a line.
+    /// One line for each task or class, with the recorded reason of its state.
     pub lines: Vec<String>,
 }
--- a/crates/sandshelfd/src/traffic.rs
+++ b/crates/sandshelfd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The face to callers: takes a request in latest_answer, has it routed, and answers with a verdict.
+//! The caller endpoint: reads a whole request, has it routed, and answers with a verdict.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,60 +24,61 @@
 use crate::meters;
 use crate::router::HostRouter;
 
-/// Says whether a request ran; on every answer of ours.
+/// The response header that says whether the request ran; set on every answer.
 const VERDICT_HEADER: &str = "sandshelf-verdict";
-/// When to come back, in milliseconds; beside Retry-After, which counts latest_answer seconds.
+/// The response header with the time until a retry in milliseconds; Retry-After, also set, has only whole seconds.
 const RETRY_HEADER: &str = "sandshelf-retry-after-ms";
-/// The caller's own time limit, in milliseconds.
+/// The request header with the caller's own time limit in milliseconds.
 const DEADLINE_HEADER: &str = "sandshelf-deadline-ms";
-/// The caller's key for a request that must not be repeated.
+/// The request header with the caller's key for a request that must not be repeated.
 const KEY_HEADER: &str = "sandshelf-key";
-/// The longest key, in bytes.
+/// The maximum length of a key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
-/// When to come back after an answer that only a change of configuration can mend.
+/// The time until a retry after an error that persists until the configuration or the request is changed.
 const RETRY_LATER_MS: Millis = 30_000;
-/// When to come back while the store is out or no configuration is known.
+/// The time until a retry while the store is unavailable or no configuration is known, or after a body that was cut off
+/// or late.
 const RETRY_SOON_MS: Millis = 1_000;
 
-/// What the control thread publishes to the traffic threads; never changed, only replaced.
+/// The state that the control thread publishes to the traffic threads; replaced as a whole, never modified.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficView {
-    /// The configuration in force; none before the first.
+    /// The configuration in force; none before the first is known.
     pub set: Option<Arc<ConfigSet>>,
-    /// Where each backend server listens, and the worker that it stands on.
+    /// The address of each backend server and the worker on which it runs.
     pub servers: HashMap<ServerId, (SocketAddr, WorkerId)>,
 }
 
-/// One answer's latency, for the control thread.
+/// The latency of one backend server's answer, sent to the control thread.
 #[derive(Clone, Debug)]
 pub struct LatencySample {
-    /// The service.
+    /// The service that answered.
     pub service: sandshelf_model::ServiceId,
-    /// The worker that the server stands on.
+    /// The worker on which the backend server runs.
     pub worker: WorkerId,
-    /// The latency.
+    /// The time from sending the request to its whole answer.
     pub latency_ms: Millis,
 }
 
-/// All that the traffic threads share.
+/// The state shared by the traffic threads.
 pub struct TrafficShared {
-    /// The router.
+    /// The router of this entry host.
     pub router: HostRouter,
-    /// The published view.
+    /// The view last published by the control thread.
     pub view: RwLock<Arc<TrafficView>>,
-    /// The client of the backend servers.
+    /// The HTTP client for calls to backend servers.
     pub client: reqwest::Client,
-    /// The platform, for callers' keys.
+    /// The client of the platform, for claims of callers' keys.
     pub platform: PlatformClient,
-    /// Latencies on their way to the control thread; dropped where it is busy.
+    /// Latency samples to the control thread; a sample is dropped where the channel is full.
     pub latencies: Sender<LatencySample>,
-    /// The largest body, in bytes.
+    /// The maximum size of a request's or an answer's body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a caller may take to send a body.
+    /// How long a caller may take to send a request's body.
     pub body_timeout_ms: Millis,
-    /// This incarnation's name.
+    /// The name of this incarnation of the daemon.
     pub host: sandshelf_model::HostId,
-    /// Whether the daemon is stopping and connections are to be closed.
+    /// Whether the daemon is stopping: each answer then closes its connection.
     pub closing: AtomicBool,
 }
 
@@ -87,7 +88,7 @@
         view.unwrap_or_else(|broken| broken.into_inner()).clone()
     }
 
-    /// Publishes a new view.
+    /// Replaces the view.
     pub fn publish(&self, view: TrafficView) {
         let mut current = self
             .view
@@ -97,7 +98,7 @@
     }
 }
 
-/// The final answer to a caller.
+/// The final answer to a caller: a backend server's answer, or a reason why there is none.
 enum FinalAnswer {
     Ran(BackendAnswer),
     GivenUp {
@@ -126,16 +127,16 @@
     }
 }
 
-/// Takes every method and path.
+/// The handler of callers' requests, of any method and path.
 #[derive(Clone)]
 pub struct CallerEndpoint {
     shared: Arc<TrafficShared>,
 }
 
 impl CallerEndpoint {
-    /// Makes the routes of the caller face.
+    /// Builds the routes of the caller endpoint.
     pub fn routes(shared: Arc<TrafficShared>) -> Vec<Route> {
-        let face = CallerEndpoint { shared };
+        let endpoint = CallerEndpoint { shared };
         let methods = [
             Method::Get,
             Method::Head,
@@ -147,7 +148,7 @@
         ];
         methods
             .into_iter()
-            .map(|method| Route::new(method, "/<path..>", face.clone()))
+            .map(|method| Route::new(method, "/<path..>", endpoint.clone()))
             .collect()
     }
 }
@@ -161,7 +162,7 @@
     }
 }
 
-/// Checks a request, takes its body in and has it served.
+/// Validates a request, reads its body and serves it.
 async fn handle_request(
     shared: &Arc<TrafficShared>,
     request: &Request<'_>,
@@ -182,7 +183,7 @@
         Err(answer) => return answer,
     };
     let (deadline, key) = match read_request_options(request, &service) {
-        Ok(wishes) => wishes,
+        Ok(options) => options,
         Err(reason) => return FinalAnswer::not_run(Status::BadRequest, RETRY_LATER_MS, reason),
     };
     let caller_request = CallerRequest {
@@ -192,7 +193,7 @@
         headers: caller_headers(request),
         body,
     };
-    // The request goes on in a task of its own: it keeps its slot to the end also where the caller breaks off.
+    // The request is served in a task of its own, so that it keeps its slot to the end even if the caller disconnects.
     let shared = shared.clone();
     let served = tokio::spawn(serve(shared, service, caller_request, deadline, key));
     match served.await {
@@ -230,7 +231,9 @@
     }
 }
 
-/// Reads the caller's deadline and key.
+/// Reads the request's deadline, as a time of [`clock::now`], and its key.
+///
+/// The caller may shorten the service's time limit, not extend it.
 fn read_request_options(
     request: &Request<'_>,
     service: &ServiceSpec,
@@ -263,7 +266,7 @@
     headers
 }
 
-/// Serves a request to its final answer.
+/// Serves a request until its final answer; a key claimed for it is released where the request certainly did not run.
 async fn serve(
     shared: Arc<TrafficShared>,
     service: ServiceSpec,
@@ -322,7 +325,7 @@
     }
 }
 
-/// Does what the router says until the final answer.
+/// Performs the router's actions for a request until its final answer.
 async fn follow_router(
     shared: &TrafficShared,
     service: &ServiceSpec,
--- a/crates/sandshelfd/tests/settings.rs
+++ b/crates/sandshelfd/tests/settings.rs
@@ -1,11 +1,11 @@
-//! `sandshelfd --check` drives the real binary: every fault of the settings is named before it exits.
+//! Runs the `sandshelfd` binary with `--check`: it reports every fault of the settings before it exits.
 
 use std::fs;
 use std::process::Command;
 
 use sandshelf_cases::cases;
 
-/// Checks settings; expects the exit code and each of `parts` in what is printed.
+/// Runs `--check` on settings; expects the exit code and each of `parts` in the printed output.
 fn check(name: &str, text: &str, code: i32, parts: &[&str]) {
     let unique = format!("sandshelfd-check-{}-{name}.jsonc", std::process::id());
     let path = std::env::temp_dir().join(unique);
@@ -27,20 +27,20 @@
     "peer_address": "127.0.0.1:0", "platform_address": "127.0.0.1:4000""#;
 
 cases! {
-    task_lease_shorter_than_a_takeover_is_named => check(
+    task_lease_shorter_than_a_takeover_is_reported => check(
         "short", &format!("{{ \"host\": \"e\", \"hall\": \"h\", {ADDRESSES}, \"task_lease_ms\": 2000 }}"),
         2, &["task_lease_ms 2000", "raise task_lease_ms"]);
-    whole_settings_are_sound => check(
+    complete_settings_are_valid => check(
         "sound", &format!("{{ // ours\n \"host\": \"entry-1\", \"hall\": \"north\", {ADDRESSES} }}"), 0, &["sound"]);
-    host_name_as_address_is_named => check(
+    host_name_as_address_is_reported => check(
         "name", &format!("{{ \"host\": \"e\", \"hall\": \"h\",\n{} }}", ADDRESSES.replace("127.0.0.1:4000", "store:4000")),
         2, &["'store:4000' is no address for 'platform_address'", "IP-NUMBER:PORT"]);
-    every_missing_field_is_named => check(
+    every_missing_field_is_reported => check(
         "missing", "{}", 2, &["'host'", "'hall'", "'caller_address'", "'platform_address'"]);
-    unknown_setting_is_named => check(
+    unknown_setting_is_reported => check(
         "unknown", &format!("{{ \"host\": \"e\", \"hall\": \"h\", {ADDRESSES},\n\"tik_ms\": 5 }}"),
         2, &[":3:1: unknown field 'tik_ms'", "tick_ms"]);
-    tick_too_long_for_the_lease_is_named => check(
+    tick_too_long_for_the_lease_is_reported => check(
         "tick", &format!("{{ \"host\": \"e\", \"hall\": \"h\", {ADDRESSES}, \"shard_lease_ms\": 600, \"tick_ms\": 400 }}"),
         2, &["tick_ms 400", "raise shard_lease_ms"]);
 }
--- a/crates/sandshelfd/tests/spelling.rs
+++ b/crates/sandshelfd/tests/spelling.rs
@@ -1,9 +1,9 @@
-//! The platform's names are decoded in `platform/` and occur nowhere else.
+//! Checks that the platform's own names occur only in `platform/`, where they are decoded.
 
 use std::fs;
 use std::path::Path;
 
-/// Names of the platform that have another name here.
+/// Names of the platform for which the crates have names of their own.
 const PLATFORM_NAMES: [&str; 12] = [
     "rows-tx",
     "rows-get",
@@ -19,11 +19,11 @@
     "X-Sandshelf-",
 ];
 
-fn look(folder: &Path, found: &mut Vec<String>) {
+fn search_folder(folder: &Path, found: &mut Vec<String>) {
     for entry in fs::read_dir(folder).expect("a readable folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            look(&path, found);
+            search_folder(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs")
             && !path.ends_with("tests/spelling.rs")
         {
@@ -37,7 +37,7 @@
 fn no_platform_names_in(folder: &str) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut found = Vec::new();
-    look(&root.join(folder), &mut found);
+    search_folder(&root.join(folder), &mut found);
     assert!(found.is_empty(), "move these to platform/: {found:#?}");
 }
 
