--- a/crates/sandshelfd/src/control.rs
+++ b/crates/sandshelfd/src/control.rs
@@ -146,28 +146,39 @@
     events: UnboundedSender<ControlEvent>,
     stopping: mpsc::Sender<()>,
     owners: BTreeMap<ShardId, ShardOwner>,
+    /// Shards whose rows are to be read at the next tick.
     wanted_rows: BTreeSet<ShardId>,
     map: Option<ShardMap>,
     shard_ids: Arc<Vec<ShardId>>,
     config: ConfigView,
     config_bytes: Vec<u8>,
+    /// Whether a configuration set is being fetched.
     fetching: bool,
     list: HostList,
     worker_addresses: Rc<HashMap<WorkerId, SocketAddr>>,
     worker_shards: HashMap<WorkerId, ShardId>,
+    /// Hosts to which the last latency windows have been sent.
     windows_sent_to: BTreeSet<HostId>,
     members: MemberTable,
     entries: BTreeMap<HostId, EntryRow>,
     drains: BTreeSet<String>,
+    /// The membership view last read, with its row version.
     view: (u64, MembershipView),
+    /// Whether a write of the membership view is pending.
     view_writing: bool,
     slice_trackers: BTreeMap<quota::SliceName, SliceTracker>,
+    /// Whether this host's entry has been read back from the shared rows.
     entry_written: bool,
+    /// The time of the last change of `candidate_count` or of the last release for balance.
     stable_since: Millis,
     candidate_count: usize,
+    /// The free capacity of each known shard.
     rooms: BTreeMap<ShardId, ShardRoom>,
+    /// The current latency windows.
     windows: HashMap<(ServiceId, WorkerId), LatencyWindow>,
+    /// This host's latency windows that ended last.
     last_windows: Vec<LatencyWindow>,
+    /// Latency windows received from other entry hosts since the last measurement.
     peer_windows: BTreeMap<HostId, Vec<LatencyWindow>>,
     meter: SlowdownMeter,
     due: DueTimes,
@@ -181,7 +192,7 @@
 }
 
 async fn run_local(parts: ControlParts) {
-    let (events, events_in) = unbounded_channel();
+    let (events, event_receiver) = unbounded_channel();
     let ControlParts {
         settings,
         entry,
@@ -207,7 +218,7 @@
         }),
     ));
     let inputs = ControlInputs {
-        events: events_in,
+        events: event_receiver,
         latencies,
         questions,
         stop,
@@ -238,7 +249,7 @@
             Some(event) = inputs.events.recv() => {
                 state.borrow_mut().on_event(clock::now(), event);
             }
-            Some(seen) = inputs.latencies.recv() => state.borrow_mut().note_latency(&seen),
+            Some(sample) = inputs.latencies.recv() => state.borrow_mut().note_latency(&sample),
             Some(question) = inputs.questions.recv() => {
                 let answer = state.borrow().explain(&question.subject);
                 let _ = question.reply.send(answer);
--- a/crates/sandshelfd/src/control/owners.rs
+++ b/crates/sandshelfd/src/control/owners.rs
@@ -15,7 +15,7 @@
         let shards: Vec<ShardId> = self.owners.keys().cloned().collect();
         for shard in shards {
             let row = self.owners[&shard].row();
-            let holder = row.and_then(|seen| seen.row.owner.as_ref());
+            let holder = row.and_then(|stored| stored.row.owner.as_ref());
             let rank = self.members.rank(now, &shard, holder);
             self.feed(now, &shard, ShardEvent::RankUpdated(rank));
         }
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -34,16 +34,16 @@
         });
     }
 
-    pub(super) fn note_latency(&mut self, seen: &LatencySample) {
-        let key = (seen.service.clone(), seen.worker.clone());
+    pub(super) fn note_latency(&mut self, sample: &LatencySample) {
+        let key = (sample.service.clone(), sample.worker.clone());
         let window = self.windows.entry(key).or_insert_with(|| LatencyWindow {
-            service: seen.service.clone(),
-            worker: seen.worker.clone(),
+            service: sample.service.clone(),
+            worker: sample.worker.clone(),
             count: 0,
             total_ms: 0,
         });
         window.count += 1;
-        window.total_ms += seen.latency_ms;
+        window.total_ms += sample.latency_ms;
     }
 
     /// Measures slowdowns from the last latency window on the workers whose shards this host owns.
--- a/crates/sandshelfd/src/control/quota.rs
+++ b/crates/sandshelfd/src/control/quota.rs
@@ -56,8 +56,8 @@
         let owned = self.owners.values().filter(|owner| owner.is_owner(now));
         let owned: Vec<ShardId> = owned.map(|owner| owner.shard().clone()).collect();
         for team in &set.teams {
-            let none = (0, QuotaRow::default());
-            let (version, row) = rows.get(&team.name).unwrap_or(&none);
+            let no_row = (0, QuotaRow::default());
+            let (version, row) = rows.get(&team.name).unwrap_or(&no_row);
             for shard in &owned {
                 let name = SliceName {
                     shard: shard.clone(),
--- a/crates/sandshelfd/src/control/view.rs
+++ b/crates/sandshelfd/src/control/view.rs
@@ -118,7 +118,7 @@
             let shard = self.worker_shards.get(worker);
             let owner = shard.and_then(|shard| self.owners.get(shard));
             let row = owner.and_then(|owner| owner.row());
-            row.is_some_and(|seen| seen.row.owner.as_ref() == Some(host))
+            row.is_some_and(|stored| stored.row.owner.as_ref() == Some(host))
         };
         let windows = self.last_windows.iter();
         windows
--- a/crates/sandshelfd/src/daemon.rs
+++ b/crates/sandshelfd/src/daemon.rs
@@ -92,8 +92,8 @@
     let host = incarnation(&settings);
     let platform = PlatformClient::new(settings.platform_address, PLATFORM_CALL_TIMEOUT)
         .change_context(DaemonFailure::Client)?;
-    let (latencies, latencies_in) = mpsc::channel(LATENCY_CHANNEL_CAPACITY);
-    let (questions, questions_in) = mpsc::channel(QUESTION_CHANNEL_CAPACITY);
+    let (latencies, latency_receiver) = mpsc::channel(LATENCY_CHANNEL_CAPACITY);
+    let (questions, question_receiver) = mpsc::channel(QUESTION_CHANNEL_CAPACITY);
     let traffic = make_traffic(&settings, &host, &platform, latencies)?;
     let operator = Arc::new(OperatorShared {
         status: RwLock::new(Arc::new(HostStatus::default())),
@@ -101,7 +101,7 @@
         metrics: meters::install(),
     });
     let endpoints = open_endpoints(&settings, &host, &traffic, &operator).await?;
-    let (stop, stop_in) = mpsc::channel(1);
+    let (stop, stop_receiver) = mpsc::channel(1);
     let (stopping, control_stopping) = mpsc::channel(1);
     let (stopped, control_stopped) = oneshot::channel();
     let drain = Duration::from_millis(settings.limits.drain_ms);
@@ -112,9 +112,9 @@
         traffic: traffic.clone(),
         operator,
         peers: endpoints.peers,
-        latencies: latencies_in,
-        questions: questions_in,
-        stop: stop_in,
+        latencies: latency_receiver,
+        questions: question_receiver,
+        stop: stop_receiver,
         stopping,
         stopped,
     })?;
@@ -253,7 +253,7 @@
         }
     });
     match receiver.await {
-        Ok(found) => Ok(found),
+        Ok(launched) => Ok(launched),
         Err(_) => {
             let _ = server.await;
             Err(Report::new(DaemonFailure::Listen))
--- a/crates/sandshelfd/src/operator.rs
+++ b/crates/sandshelfd/src/operator.rs
@@ -31,7 +31,9 @@
 impl OperatorShared {
     fn status(&self) -> Arc<HostStatus> {
         let status = self.status.read();
-        status.unwrap_or_else(|broken| broken.into_inner()).clone()
+        status
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
     /// Replaces the status.
@@ -39,7 +41,7 @@
         let mut current = self
             .status
             .write()
-            .unwrap_or_else(|broken| broken.into_inner());
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         *current = Arc::new(status);
     }
 }
--- a/crates/sandshelfd/src/router.rs
+++ b/crates/sandshelfd/src/router.rs
@@ -80,6 +80,6 @@
     fn lock(&self) -> std::sync::MutexGuard<'_, RouterState> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
--- a/crates/sandshelfd/src/traffic.rs
+++ b/crates/sandshelfd/src/traffic.rs
@@ -85,7 +85,8 @@
 impl TrafficShared {
     fn view(&self) -> Arc<TrafficView> {
         let view = self.view.read();
-        view.unwrap_or_else(|broken| broken.into_inner()).clone()
+        view.unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
     /// Replaces the view.
@@ -93,7 +94,7 @@
         let mut current = self
             .view
             .write()
-            .unwrap_or_else(|broken| broken.into_inner());
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         *current = Arc::new(view);
     }
 }
