--- a/crates/sandshelfd/src/daemon.rs
+++ b/crates/sandshelfd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads and faces, and stops them as planned.
+//! Starts the daemon's threads and endpoints, and shuts them down gracefully.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -28,30 +28,31 @@
 use crate::operator::{operator_routes, OperatorShared};
 use crate::router::HostRouter;
 use crate::status::HostStatus;
-use crate::traffic::{CallerFace, LatencySeen, TrafficShared, TrafficView};
+use crate::traffic::{CallerEndpoint, LatencySample, TrafficShared, TrafficView};
 use crate::{backend, clock, logging, meters};
 
-/// How long a call to the platform is waited for.
-const PLATFORM_PATIENCE: Duration = Duration::from_millis(2_000);
-/// How many latencies may be on their way to the control thread.
-const LATENCY_CHANNEL: usize = 4_096;
-/// How many questions may wait for the control thread.
-const QUESTION_CHANNEL: usize = 64;
-/// How often a planned stop looks whether requests are still under way.
-const STOP_LOOK: Duration = Duration::from_millis(20);
-/// The longest that connections may stay open after the last answer, in seconds.
+/// The timeout of a call to the platform.
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// The maximum number of latency samples queued for the control thread; further samples are dropped.
+const LATENCY_CHANNEL_CAPACITY: usize = 4_096;
+/// The maximum number of explain requests queued for the control thread.
+const QUESTION_CHANNEL_CAPACITY: usize = 64;
+/// The interval at which a graceful shutdown checks whether requests are still in flight.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The maximum time for which connections may stay open after the last answer, in seconds; used for both of Rocket's
+/// shutdown phases.
 const CLOSE_GRACE_S: u32 = 5;
 
-/// Says what kept the daemon from going on.
+/// The reason why the daemon can't start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonFailure {
-    /// The logger can't be started.
+    /// Logging can't be started.
     Logging,
     /// A thread or a runtime can't be started.
     Runtime,
-    /// An address can't be listened on.
+    /// An address from the settings can't be bound.
     Listen,
-    /// An HTTP client can't be made.
+    /// An HTTP client can't be created.
     Client,
 }
 
@@ -60,15 +61,15 @@
         formatter.write_str(match self {
             DaemonFailure::Logging => "the logger can't be started",
             DaemonFailure::Runtime => "a thread can't be started",
-            DaemonFailure::Listen => "an address of the settings can't be listened on",
-            DaemonFailure::Client => "an HTTP client can't be made",
+            DaemonFailure::Listen => "an address from the settings can't be bound",
+            DaemonFailure::Client => "an HTTP client can't be created",
         })
     }
 }
 
 impl std::error::Error for DaemonFailure {}
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a graceful shutdown is complete.
 pub fn run(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
     let _logger = logging::start().change_context(DaemonFailure::Logging)?;
     clock::now();
@@ -78,42 +79,42 @@
         .enable_all()
         .build()
         .change_context(DaemonFailure::Runtime)?;
-    runtime.block_on(run_faces(settings))
+    runtime.block_on(run_endpoints(settings))
 }
 
-/// Names this incarnation: the host's name and a number that no earlier one had.
+/// The name of this incarnation of the daemon: the host's name and a random 64-bit number that tells it from earlier ones.
 fn incarnation(settings: &DaemonSettings) -> HostId {
     let number: u64 = rand::rng().random();
     HostId::from(format!("{}.{number:016x}", settings.host))
 }
 
-async fn run_faces(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
+async fn run_endpoints(settings: DaemonSettings) -> Result<(), Report<DaemonFailure>> {
     let host = incarnation(&settings);
-    let platform = PlatformClient::new(settings.platform_address, PLATFORM_PATIENCE)
+    let platform = PlatformClient::new(settings.platform_address, PLATFORM_CALL_TIMEOUT)
         .change_context(DaemonFailure::Client)?;
-    let (latencies, latencies_in) = mpsc::channel(LATENCY_CHANNEL);
-    let (questions, questions_in) = mpsc::channel(QUESTION_CHANNEL);
+    let (latencies, latency_receiver) = mpsc::channel(LATENCY_CHANNEL_CAPACITY);
+    let (questions, question_receiver) = mpsc::channel(QUESTION_CHANNEL_CAPACITY);
     let traffic = make_traffic(&settings, &host, &platform, latencies)?;
     let operator = Arc::new(OperatorShared {
         status: RwLock::new(Arc::new(HostStatus::default())),
         questions,
         metrics: meters::install(),
     });
-    let faces = open_faces(&settings, &host, &traffic, &operator).await?;
-    let (stop, stop_in) = mpsc::channel(1);
+    let endpoints = open_endpoints(&settings, &host, &traffic, &operator).await?;
+    let (stop, stop_receiver) = mpsc::channel(1);
     let (stopping, control_stopping) = mpsc::channel(1);
     let (stopped, control_stopped) = oneshot::channel();
     let drain = Duration::from_millis(settings.limits.drain_ms);
     start_control(ControlParts {
         settings,
-        entry: faces.entry,
+        entry: endpoints.entry,
         platform,
         traffic: traffic.clone(),
         operator,
-        peers: faces.peers,
-        latencies: latencies_in,
-        questions: questions_in,
-        stop: stop_in,
+        peers: endpoints.peers,
+        latencies: latency_receiver,
+        questions: question_receiver,
+        stop: stop_receiver,
         stopping,
         stopped,
     })?;
@@ -122,7 +123,7 @@
         stop,
         control_stopping,
         control_stopped,
-        caller_stop: faces.caller_stop,
+        caller_stop: endpoints.caller_stop,
         drain,
     })
     .await;
@@ -130,12 +131,12 @@
     Ok(())
 }
 
-/// Makes what the traffic threads share.
+/// Creates the state shared by the traffic threads.
 fn make_traffic(
     settings: &DaemonSettings,
     host: &HostId,
     platform: &PlatformClient,
-    latencies: mpsc::Sender<LatencySeen>,
+    latencies: mpsc::Sender<LatencySample>,
 ) -> Result<Arc<TrafficShared>, Report<DaemonFailure>> {
     Ok(Arc::new(TrafficShared {
         router: HostRouter::new(route_core(settings, host)),
@@ -153,27 +154,27 @@
     }))
 }
 
-/// The faces that are open.
-struct OpenFaces {
+/// The endpoints that are listening.
+struct OpenEndpoints {
     entry: EntryRow,
     peers: TcpListener,
     caller_stop: Shutdown,
 }
 
-/// Opens the three addresses and logs where each listens.
-async fn open_faces(
+/// Opens the caller, operator and peer endpoints and logs the address of each.
+async fn open_endpoints(
     settings: &DaemonSettings,
     host: &HostId,
     traffic: &Arc<TrafficShared>,
     operator: &Arc<OperatorShared>,
-) -> Result<OpenFaces, Report<DaemonFailure>> {
-    let caller_face =
-        quiet_rocket(settings.caller_address).mount("/", CallerFace::routes(traffic.clone()));
-    let (caller, caller_stop) = launch(caller_face).await?;
-    let operator_face = quiet_rocket(settings.operator_address)
+) -> Result<OpenEndpoints, Report<DaemonFailure>> {
+    let caller_endpoint =
+        quiet_rocket(settings.caller_address).mount("/", CallerEndpoint::routes(traffic.clone()));
+    let (caller, caller_stop) = launch(caller_endpoint).await?;
+    let operator_endpoint = quiet_rocket(settings.operator_address)
         .manage(operator.clone())
         .mount("/", operator_routes());
-    let (operator, _) = launch(operator_face).await?;
+    let (operator, _) = launch(operator_endpoint).await?;
     let peers = TcpListener::bind(settings.peer_address)
         .await
         .change_context(DaemonFailure::Listen)?;
@@ -196,7 +197,7 @@
         operator,
         peer,
     };
-    Ok(OpenFaces {
+    Ok(OpenEndpoints {
         entry,
         peers,
         caller_stop,
@@ -232,35 +233,35 @@
     .attach(Shield::new())
 }
 
-/// Launches a face; returns where it listens and how to stop it.
+/// Launches an HTTP endpoint; returns the address on which it listens and its shutdown handle.
 pub(crate) async fn launch(
     rocket: Rocket<Build>,
 ) -> Result<(SocketAddr, Shutdown), Report<DaemonFailure>> {
-    let (tell, told) = oneshot::channel();
-    let tell = std::sync::Mutex::new(Some(tell));
+    let (sender, receiver) = oneshot::channel();
+    let sender = std::sync::Mutex::new(Some(sender));
     let rocket = rocket.attach(AdHoc::on_liftoff("address", move |rocket| {
         let config = rocket.config();
         let address = SocketAddr::new(config.address, config.port);
-        if let Some(tell) = tell.lock().ok().and_then(|mut tell| tell.take()) {
-            let _ = tell.send((address, rocket.shutdown()));
+        if let Some(sender) = sender.lock().ok().and_then(|mut sender| sender.take()) {
+            let _ = sender.send((address, rocket.shutdown()));
         }
         Box::pin(async {})
     }));
-    let face = tokio::spawn(async move {
+    let server = tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
             event("face_failed", &[("error", &error)]);
         }
     });
-    match told.await {
-        Ok(found) => Ok(found),
+    match receiver.await {
+        Ok(launched) => Ok(launched),
         Err(_) => {
-            let _ = face.await;
+            let _ = server.await;
             Err(Report::new(DaemonFailure::Listen))
         }
     }
 }
 
-/// Starts the one thread that holds all control state.
+/// Starts the control thread, which owns all control state.
 fn start_control(parts: ControlParts) -> Result<(), Report<DaemonFailure>> {
     let run = move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
@@ -283,8 +284,8 @@
     drain: Duration,
 }
 
-/// Waits for a signal, or for the control thread to end, and stops in order:
-/// unready first, shards released, requests under way finished, connections closed.
+/// Waits for a signal, an operator's drain or the end of the control thread, then shuts down in order: readiness
+/// withdrawn, shards released, requests in flight finished, connections closed.
 async fn wait_and_stop(mut handles: StopHandles) {
     tokio::select! {
         () = wait_for_signal() => event("stopping", &[("cause", &"signal")]),
@@ -304,10 +305,10 @@
 async fn finish_traffic(handles: &StopHandles) {
     handles.caller_stop.clone().notify();
     while handles.traffic.router.open_requests() > 0 {
-        sleep(STOP_LOOK).await;
+        sleep(STOP_CHECK_INTERVAL).await;
     }
-    // The last answers are on their way out through connections that close by themselves.
-    sleep(STOP_LOOK * 5).await;
+    // The last answers may still be in transit; their connections close by themselves.
+    sleep(STOP_CHECK_INTERVAL * 5).await;
 }
 
 pub(crate) async fn wait_for_signal() {
--- a/crates/sandshelfd/src/traffic.rs
+++ b/crates/sandshelfd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The face to callers: takes a request in whole, has it routed, and answers with a verdict.
+//! The caller endpoint: reads a whole request, has it routed, and answers with a verdict.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,80 +24,82 @@
 use crate::meters;
 use crate::router::HostRouter;
 
-/// Says whether a request ran; on every answer of ours.
+/// The response header that says whether the request ran; set on every answer.
 const VERDICT_HEADER: &str = "sandshelf-verdict";
-/// When to come back, in milliseconds; beside Retry-After, which counts whole seconds.
+/// The response header with the time until a retry in milliseconds; Retry-After, also set, has only whole seconds.
 const RETRY_HEADER: &str = "sandshelf-retry-after-ms";
-/// The caller's own time limit, in milliseconds.
+/// The request header with the caller's own time limit in milliseconds.
 const DEADLINE_HEADER: &str = "sandshelf-deadline-ms";
-/// The caller's key for a request that must not be repeated.
+/// The request header with the caller's key for a request that must not be repeated.
 const KEY_HEADER: &str = "sandshelf-key";
-/// The longest key, in bytes.
-const LONGEST_KEY: usize = 200;
-/// When to come back after an answer that only a change of configuration can mend.
+/// The maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 200;
+/// The time until a retry after an error that persists until the configuration or the request is changed.
 const RETRY_LATER_MS: Millis = 30_000;
-/// When to come back while the store is out or no configuration is known.
+/// The time until a retry while the store is unavailable or no configuration is known, or after a body that was cut off
+/// or late.
 const RETRY_SOON_MS: Millis = 1_000;
 
-/// What the control thread publishes to the traffic threads; never changed, only replaced.
+/// The state that the control thread publishes to the traffic threads; replaced as a whole, never modified.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficView {
-    /// The configuration in force; none before the first.
+    /// The configuration in force; none before the first is known.
     pub set: Option<Arc<ConfigSet>>,
-    /// Where each backend server listens, and the worker that it stands on.
+    /// The address of each backend server and the worker on which it runs.
     pub servers: HashMap<ServerId, (SocketAddr, WorkerId)>,
 }
 
-/// One answer's latency, for the control thread.
+/// The latency of one backend server's answer, sent to the control thread.
 #[derive(Clone, Debug)]
-pub struct LatencySeen {
-    /// The service.
+pub struct LatencySample {
+    /// The service that answered.
     pub service: sandshelf_model::ServiceId,
-    /// The worker that the server stands on.
+    /// The worker on which the backend server runs.
     pub worker: WorkerId,
-    /// The latency.
+    /// The time from sending the request to its whole answer.
     pub latency_ms: Millis,
 }
 
-/// All that the traffic threads share.
+/// The state shared by the traffic threads.
 pub struct TrafficShared {
-    /// The router.
+    /// The router of this entry host.
     pub router: HostRouter,
-    /// The published view.
+    /// The view last published by the control thread.
     pub view: RwLock<Arc<TrafficView>>,
-    /// The client of the backend servers.
+    /// The HTTP client for calls to backend servers.
     pub client: reqwest::Client,
-    /// The platform, for callers' keys.
+    /// The client of the platform, for claims of callers' keys.
     pub platform: PlatformClient,
-    /// Latencies on their way to the control thread; dropped where it is busy.
-    pub latencies: Sender<LatencySeen>,
-    /// The largest body, in bytes.
+    /// Latency samples to the control thread; a sample is dropped where the channel is full.
+    pub latencies: Sender<LatencySample>,
+    /// The maximum size of a request's or an answer's body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a caller may take to send a body.
+    /// How long a caller may take to send a request's body.
     pub body_timeout_ms: Millis,
-    /// This incarnation's name.
+    /// The name of this incarnation of the daemon.
     pub host: sandshelf_model::HostId,
-    /// Whether the daemon is stopping and connections are to be closed.
+    /// Whether the daemon is stopping: each answer then closes its connection.
     pub closing: AtomicBool,
 }
 
 impl TrafficShared {
     fn view(&self) -> Arc<TrafficView> {
         let view = self.view.read();
-        view.unwrap_or_else(|broken| broken.into_inner()).clone()
+        view.unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
-    /// Publishes a new view.
+    /// Replaces the view.
     pub fn publish(&self, view: TrafficView) {
         let mut current = self
             .view
             .write()
-            .unwrap_or_else(|broken| broken.into_inner());
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         *current = Arc::new(view);
     }
 }
 
-/// The final answer to a caller.
+/// The final answer to a caller: a backend server's answer, or a reason why there is none.
 enum FinalAnswer {
     Ran(BackendAnswer),
     GivenUp {
@@ -126,16 +128,16 @@
     }
 }
 
-/// Takes every method and path.
+/// The handler of callers' requests, of any method and path.
 #[derive(Clone)]
-pub struct CallerFace {
+pub struct CallerEndpoint {
     shared: Arc<TrafficShared>,
 }
 
-impl CallerFace {
-    /// Makes the routes of the caller face.
+impl CallerEndpoint {
+    /// Builds the routes of the caller endpoint.
     pub fn routes(shared: Arc<TrafficShared>) -> Vec<Route> {
-        let face = CallerFace { shared };
+        let endpoint = CallerEndpoint { shared };
         let methods = [
             Method::Get,
             Method::Head,
@@ -147,22 +149,22 @@
         ];
         methods
             .into_iter()
-            .map(|method| Route::new(method, "/<path..>", face.clone()))
+            .map(|method| Route::new(method, "/<path..>", endpoint.clone()))
             .collect()
     }
 }
 
 #[rocket::async_trait]
-impl Handler for CallerFace {
+impl Handler for CallerEndpoint {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let answer = take_request(&self.shared, request, data).await;
+        let answer = handle_request(&self.shared, request, data).await;
         let closing = self.shared.closing.load(Ordering::Relaxed);
         Outcome::Success(to_response(answer, closing))
     }
 }
 
-/// Checks a request, takes its body in and has it served.
-async fn take_request(
+/// Validates a request, reads its body and serves it.
+async fn handle_request(
     shared: &Arc<TrafficShared>,
     request: &Request<'_>,
     data: Data<'_>,
@@ -177,12 +179,12 @@
         let reason = "no service of that name is declared";
         return FinalAnswer::not_run(Status::NotFound, RETRY_LATER_MS, reason);
     };
-    let body = match take_body(shared, data).await {
+    let body = match read_body(shared, data).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
-    let (deadline, key) = match read_wishes(request, &service) {
-        Ok(wishes) => wishes,
+    let (deadline, key) = match read_request_options(request, &service) {
+        Ok(options) => options,
         Err(reason) => return FinalAnswer::not_run(Status::BadRequest, RETRY_LATER_MS, reason),
     };
     let caller_request = CallerRequest {
@@ -192,7 +194,7 @@
         headers: caller_headers(request),
         body,
     };
-    // The request goes on in a task of its own: it keeps its slot to the end also where the caller breaks off.
+    // The request is served in a task of its own, so that it keeps its slot to the end even if the caller disconnects.
     let shared = shared.clone();
     let served = tokio::spawn(serve(shared, service, caller_request, deadline, key));
     match served.await {
@@ -206,10 +208,10 @@
     }
 }
 
-async fn take_body(shared: &TrafficShared, data: Data<'_>) -> Result<Vec<u8>, FinalAnswer> {
-    let patience = Duration::from_millis(shared.body_timeout_ms);
+async fn read_body(shared: &TrafficShared, data: Data<'_>) -> Result<Vec<u8>, FinalAnswer> {
+    let timeout = Duration::from_millis(shared.body_timeout_ms);
     let limit = shared.max_body_bytes.bytes();
-    let read = tokio::time::timeout(patience, data.open(limit).into_bytes()).await;
+    let read = tokio::time::timeout(timeout, data.open(limit).into_bytes()).await;
     match read {
         Ok(Ok(body)) if body.is_complete() => Ok(body.into_inner()),
         Ok(Ok(_)) => Err(FinalAnswer::not_run(
@@ -230,29 +232,31 @@
     }
 }
 
-/// Reads the caller's deadline and key.
-fn read_wishes(
+/// Reads the request's deadline, as a time of [`clock::now`], and its key.
+///
+/// The caller may shorten the service's time limit, not extend it.
+fn read_request_options(
     request: &Request<'_>,
     service: &ServiceSpec,
 ) -> Result<(Millis, Option<String>), &'static str> {
-    let asked = match request.headers().get_one(DEADLINE_HEADER) {
+    let requested_ms = match request.headers().get_one(DEADLINE_HEADER) {
         Some(text) => text
             .parse::<Millis>()
             .map_err(|_| "sandshelf-deadline-ms is not a whole number")?,
         None => service.deadline_ms,
     };
     let key = request.headers().get_one(KEY_HEADER).map(str::to_owned);
-    let sound = |key: &String| {
+    let is_valid = |key: &String| {
         !key.is_empty()
-            && key.len() <= LONGEST_KEY
+            && key.len() <= MAX_KEY_BYTES
             && key
                 .bytes()
                 .all(|byte| byte.is_ascii_graphic() && byte != b'/')
     };
-    if key.as_ref().is_some_and(|key| !sound(key)) {
+    if key.as_ref().is_some_and(|key| !is_valid(key)) {
         return Err("sandshelf-key has to be 1 to 200 printable characters without a slash");
     }
-    Ok((clock::now() + asked.min(service.deadline_ms), key))
+    Ok((clock::now() + requested_ms.min(service.deadline_ms), key))
 }
 
 fn caller_headers(request: &Request<'_>) -> HeaderMap {
@@ -263,7 +267,7 @@
     headers
 }
 
-/// Serves a request to its final answer.
+/// Serves a request until its final answer; a key claimed for it is released where the request certainly did not run.
 async fn serve(
     shared: Arc<TrafficShared>,
     service: ServiceSpec,
@@ -286,7 +290,7 @@
         deadline,
     };
     shared.router.handle(RouteEvent::Arrived(info));
-    let answer = follow(&shared, &service, &request, number, deadline, mailbox).await;
+    let answer = follow_router(&shared, &service, &request, number, deadline, mailbox).await;
     shared.router.close(number);
     if let (Some(claim), RunVerdict::NotRun) = (&claim, answer.verdict()) {
         release_key(&shared.platform, claim, &token).await;
@@ -314,7 +318,7 @@
             retry_after: None,
             reason: "a request with this key was taken in before; it may have run",
         }),
-        ClaimOutcome::StoreOut => Err(FinalAnswer::not_run(
+        ClaimOutcome::StoreUnavailable => Err(FinalAnswer::not_run(
             Status::ServiceUnavailable,
             RETRY_SOON_MS,
             "the key can't be recorded while the platform's store does not answer",
@@ -322,8 +326,8 @@
     }
 }
 
-/// Does what the router says until the final answer.
-async fn follow(
+/// Performs the router's actions for a request until its final answer.
+async fn follow_router(
     shared: &TrafficShared,
     service: &ServiceSpec,
     request: &CallerRequest,
@@ -331,12 +335,12 @@
     deadline: Millis,
     mut mailbox: UnboundedReceiver<RouteAction>,
 ) -> FinalAnswer {
-    let mut whole: Option<BackendAnswer> = None;
+    let mut latest_answer: Option<BackendAnswer> = None;
     while let Some(action) = mailbox.recv().await {
         match action {
             RouteAction::Dispatch { server, .. } => {
-                let (answer, end) = send_on(shared, service, request, &server, deadline).await;
-                whole = answer;
+                let (answer, end) = forward(shared, service, request, &server, deadline).await;
+                latest_answer = answer;
                 let event = RouteEvent::Ended {
                     request: number,
                     end,
@@ -344,7 +348,7 @@
                 shared.router.handle(event);
             }
             RouteAction::Deliver { .. } => {
-                if let Some(answer) = whole.take() {
+                if let Some(answer) = latest_answer.take() {
                     return FinalAnswer::Ran(answer);
                 }
             }
@@ -377,7 +381,7 @@
     }
 }
 
-async fn send_on(
+async fn forward(
     shared: &TrafficShared,
     service: &ServiceSpec,
     request: &CallerRequest,
@@ -388,13 +392,13 @@
     let Some((address, worker)) = view.servers.get(server) else {
         return (None, AttemptEnd::NotRun);
     };
-    let patience = clock::until(deadline);
+    let timeout = clock::until(deadline);
     let max_body = shared.max_body_bytes;
-    let attempt = backend::attempt(&shared.client, *address, request, patience, max_body);
+    let attempt = backend::attempt(&shared.client, *address, request, timeout, max_body);
     let (result, latency_ms) = attempt.await;
     match result {
         Ok(answer) => {
-            let _ = shared.latencies.try_send(LatencySeen {
+            let _ = shared.latencies.try_send(LatencySample {
                 service: service.name.clone(),
                 worker: worker.clone(),
                 latency_ms,
