--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -1,7 +1,7 @@
-//! Explores every interleaving, to a depth, of two owners, one shard, two workers and a store that loses answers.
+//! Explores the interleavings, up to a depth, of two owners of one shard, two workers and a store that loses answers.
 //!
-//! From a state in which one owner runs a task, each step delivers one of the messages on their way, delivers it and loses
-//! its answer, or lets time pass. After each step no task may run in two places.
+//! The exploration starts in a state in which a task runs. Each step delivers one of the messages in flight, delivers it
+//! and loses its answer, drops it, or lets time pass. After each step no task may run on two workers.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use sandshelf_place::WorkerEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use support::jobs::{job, once, set_of};
-use support::truth::RunTruth;
+use support::checker::InvariantChecker;
+use support::jobs::{at_most_once_job, config_set, job};
 
-/// Short durations, so that a few steps of time reach past every one of them.
+/// Short durations, so that a few time steps exceed each of them.
 const TIMES: LeaseTimes = LeaseTimes {
     shard_lease_ms: 1_000,
     task_lease_ms: 1_000,
@@ -28,22 +28,24 @@
     records_per_snapshot: 12,
     stagger_ms: 100,
 };
-/// The steps of time that are tried: within an answer's time, past a lease, past everything.
+/// The time steps that are tried, in milliseconds: just past the answer timeout, past a lease, and past the silence time,
+/// which exceeds all other durations.
 const TIME_STEPS: [Millis; 3] = [310, 1_150, 2_100];
-/// How many of each owner's messages on their way are tried next.
-const TRIED_MESSAGES: usize = 2;
-/// How deep CI explores.
+/// The number of each owner's messages in flight, oldest first, that are tried as the next to be delivered.
+const MAX_TRIED_MESSAGES: usize = 2;
+/// The number of steps that CI explores.
 const CI_DEPTH: usize = 6;
 
+/// A message in flight.
 #[derive(Clone)]
 struct Message {
     from: usize,
     action: ShardAction,
 }
 
-/// The whole state; cloned for each choice.
+/// The state of owners, workers, store and messages; cloned for each choice.
 #[derive(Clone)]
-struct State {
+struct ExploredState {
     now: Millis,
     owners: Vec<ShardOwner>,
     store: FakeStore,
@@ -60,7 +62,7 @@
     Pass(Millis),
 }
 
-impl State {
+impl ExploredState {
     fn new(jobs: Vec<JobSpec>) -> Self {
         let shard = ShardId::from("shard-0");
         let names = ["worker-1", "worker-2"].map(WorkerId::from);
@@ -81,7 +83,7 @@
             messages: Vec::new(),
             shard: shard.clone(),
         };
-        let set = Arc::new(set_of(jobs));
+        let set = Arc::new(config_set(jobs));
         let present: Vec<WorkerEntry> = names
             .iter()
             .map(|name| WorkerEntry::plain(name.as_str(), capacity))
@@ -122,8 +124,8 @@
         }
     }
 
-    fn pass(&mut self, length: Millis) {
-        self.now += length;
+    fn pass(&mut self, duration_ms: Millis) {
+        self.now += duration_ms;
         let now = self.now;
         self.workers
             .values_mut()
@@ -133,13 +135,13 @@
         }
     }
 
-    /// What becomes of a message at the other end.
+    /// Lets the receiver of a message handle it; returns the answer, none where the message has none.
     fn serve(&mut self, action: &ShardAction) -> Option<ShardEvent> {
         let ShardAction::SendOrders { worker, orders } = action else {
             return self.store.serve(&self.shard, action);
         };
-        let there = self.workers.get_mut(worker).expect("a listed worker");
-        let report = there.handle(self.now, orders);
+        let worker_state = self.workers.get_mut(worker).expect("a listed worker");
+        let report = worker_state.handle(self.now, orders);
         Some(ShardEvent::WorkerAnswered {
             worker: worker.clone(),
             epoch: orders.epoch,
@@ -163,7 +165,7 @@
             Choice::Drop(position) => {
                 self.messages.remove(position);
             }
-            Choice::Pass(length) => self.pass(length),
+            Choice::Pass(duration_ms) => self.pass(duration_ms),
         }
     }
 
@@ -173,7 +175,7 @@
             let sent = self.messages.iter().enumerate();
             let sent = sent.filter(|(_, message)| message.from == owner);
             let positions: Vec<usize> = sent.map(|(position, _)| position).collect();
-            let tried = positions.iter().take(TRIED_MESSAGES);
+            let tried = positions.iter().take(MAX_TRIED_MESSAGES);
             choices.extend(tried.map(|&position| Choice::Deliver(position)));
             if let Some(&first) = positions.first() {
                 choices.push(Choice::DeliverLosingAnswer(first));
@@ -184,16 +186,16 @@
     }
 
     fn check(&self, path: &[Choice]) {
-        let mut truth = RunTruth::default();
-        if let Err(problem) = truth.check(&self.workers) {
+        let mut checker = InvariantChecker::default();
+        if let Err(problem) = checker.check(&self.workers) {
             panic!("{problem} after {path:?}");
         }
-        RunTruth::check_attempts(self.workers.values())
+        InvariantChecker::check_attempts(self.workers.values())
             .unwrap_or_else(|problem| panic!("{problem} after {path:?}"));
     }
 
-    /// Delivers everything in order until the first owner runs the task.
-    fn settle(&mut self) {
+    /// Delivers all messages in order until the first owner holds the shard and the task runs.
+    fn run_until_running(&mut self) {
         for _ in 0..200 {
             while !self.messages.is_empty() {
                 self.apply(Choice::Deliver(0));
@@ -206,26 +208,26 @@
                 return;
             }
             self.pass(20);
-            // The other owner only watches until the exploration begins.
+            // Until the exploration begins, the second owner's messages are dropped, so that it claims nothing.
             self.messages.retain(|message| message.from == 0);
         }
         panic!("the task does not start");
     }
 }
 
-/// Where an exploration begins.
+/// The state from which an exploration starts.
 #[derive(Clone, Copy, Debug)]
 enum Start {
     /// The first owner runs the task.
     Running,
-    /// The second owner has just taken over; the first one's last messages are still on their way.
+    /// The second owner has just taken over; the first owner's last messages are still in flight.
     TakenOver,
-    /// As before, and one worker that the second owner reached is fenced.
+    /// Like [`Start::TakenOver`], and the worker on which nothing runs has been fenced by the second owner.
     OneFenced,
 }
 
-impl State {
-    /// Keeps the first owner silent, its messages on their way, until the second holds the shard.
+impl ExploredState {
+    /// Ticks the first owner no longer and keeps its messages in flight, until the second owner holds the shard.
     fn take_over(&mut self) {
         self.feed(0, ShardEvent::Tick);
         for _ in 0..400 {
@@ -234,18 +236,20 @@
             }
             self.now += 20;
             self.feed(1, ShardEvent::Tick);
-            self.deliver_of(1, |_| true);
+            self.deliver_from(1, |_| true);
         }
         panic!("the second owner does not take over");
     }
 
-    /// Lets the second owner reach the worker on which nothing runs.
+    /// Lets the second owner fence the worker on which nothing runs, without reaching the other worker.
     fn fence_idle_worker(&mut self) {
         let idle = self
             .workers
             .iter()
             .find(|(_, worker)| worker.running().count() == 0);
-        let idle = idle.map(|(name, _)| name.clone()).expect("one is idle");
+        let idle = idle
+            .map(|(name, _)| name.clone())
+            .expect("one worker is idle");
         for _ in 0..20 {
             let fenced = self.owners[1]
                 .session(&idle)
@@ -255,7 +259,7 @@
             }
             self.now += 20;
             self.feed(1, ShardEvent::Tick);
-            self.deliver_of(1, |action| match action {
+            self.deliver_from(1, |action| match action {
                 ShardAction::SendOrders { worker, .. } => *worker == idle,
                 _ => true,
             });
@@ -263,7 +267,8 @@
         panic!("the idle worker is not fenced");
     }
 
-    fn deliver_of(&mut self, owner: usize, wanted: impl Fn(&ShardAction) -> bool) {
+    /// Delivers those messages of an owner that satisfy `wanted`.
+    fn deliver_from(&mut self, owner: usize, wanted: impl Fn(&ShardAction) -> bool) {
         while let Some(position) = self
             .messages
             .iter()
@@ -274,7 +279,8 @@
     }
 }
 
-fn explore(state: &State, depth: usize, path: &mut Vec<Choice>) -> u64 {
+/// Explores all choices up to a depth; returns the number of paths.
+fn explore(state: &ExploredState, depth: usize, path: &mut Vec<Choice>) -> u64 {
     if depth == 0 {
         return 1;
     }
@@ -290,12 +296,12 @@
     paths
 }
 
-/// Explores from the state in which the task runs; `SANDSHELF_DEPTH` goes deeper than CI.
+/// Explores from `start`, up to the depth in `SANDSHELF_DEPTH`, or [`CI_DEPTH`] where that isn't set.
 fn every_interleaving(start: Start, jobs: Vec<JobSpec>) {
-    let wish = std::env::var("SANDSHELF_DEPTH").ok();
-    let depth = wish.and_then(|text| text.parse().ok()).unwrap_or(CI_DEPTH);
-    let mut state = State::new(jobs);
-    state.settle();
+    let text = std::env::var("SANDSHELF_DEPTH").ok();
+    let depth = text.and_then(|text| text.parse().ok()).unwrap_or(CI_DEPTH);
+    let mut state = ExploredState::new(jobs);
+    state.run_until_running();
     match start {
         Start::Running => {}
         Start::TakenOver => state.take_over(),
@@ -313,7 +319,7 @@
     repeatable_running => every_interleaving(Start::Running, vec![job("plain", 1, 60_000)]);
     repeatable_taken_over => every_interleaving(Start::TakenOver, vec![job("plain", 1, 60_000)]);
     repeatable_one_fenced => every_interleaving(Start::OneFenced, vec![job("plain", 1, 60_000)]);
-    once_taken_over => every_interleaving(Start::TakenOver, vec![once("once", 1, 60_000)]);
-    once_one_fenced => every_interleaving(Start::OneFenced, vec![once("once", 1, 60_000)]);
+    once_taken_over => every_interleaving(Start::TakenOver, vec![at_most_once_job("once", 1, 60_000)]);
+    once_one_fenced => every_interleaving(Start::OneFenced, vec![at_most_once_job("once", 1, 60_000)]);
     short_task_that_ends => every_interleaving(Start::Running, vec![job("short", 1, 400)]);
 }
--- a/crates/lease/tests/rough_runs.rs
+++ b/crates/lease/tests/rough_runs.rs
@@ -1,4 +1,4 @@
-//! Randomised runs in which everything goes wrong: no task runs twice, each finishes once, nothing is lost.
+//! Simulated runs with random faults of all kinds: no task runs on two workers, each task finishes once, no task is lost.
 
 mod support;
 
@@ -6,21 +6,21 @@
 use sandshelf_config::JobSpec;
 use sandshelf_lease::{ShardNote, TaskStage};
 use sandshelf_model::{Millis, TaskId};
+use support::checker::InvariantChecker;
+use support::cluster::SimulatedCluster;
 use support::faults::FaultRates;
-use support::jobs::{checkpointed, job, once};
-use support::truth::RunTruth;
-use support::world::World;
+use support::jobs::{at_most_once_job, checkpointable_job, job};
 
-/// How long things go wrong in one run.
-const ROUGH_MS: Millis = 120_000;
-/// How long a healed world may take to finish all work.
-const PATIENCE_MS: Millis = 200_000;
+/// How long faults are injected in one run, in milliseconds.
+const FAULT_PERIOD_MS: Millis = 120_000;
+/// How long all tasks may take to finish after the faults have ended, in milliseconds.
+const COMPLETION_TIMEOUT_MS: Millis = 200_000;
 
 fn jobs() -> Vec<JobSpec> {
     vec![
         job("plain", 12, 2_500),
-        checkpointed("long", 6, 9_000),
-        once("once", 6, 1_500),
+        checkpointable_job("long", 6, 9_000),
+        at_most_once_job("once", 6, 1_500),
     ]
 }
 
@@ -34,70 +34,81 @@
     all.collect()
 }
 
-/// How much a run exercised.
+/// Counts that show how much a run, or several, exercised.
 #[derive(Debug, Default)]
 struct RunCounts {
+    /// Claims of shards.
     claims: usize,
+    /// Evicted attempts.
     evictions: usize,
+    /// Shards that an owner lost to another host.
     losses: usize,
 }
 
-/// Runs one seed; the world checks after each step that no task runs twice.
+/// Runs one seed: faults and changes of the configuration, then a time without faults in which all tasks have to finish.
+///
+/// The simulation checks throughout that no task runs on two workers.
 fn run_seed(seed: u64, hosts: usize, shards: usize) -> RunCounts {
     let first = jobs();
-    let mut world = World::new(seed, hosts, shards, first.clone());
-    world.rates = FaultRates::ROUGH;
-    world.run_until(ROUGH_MS / 3);
+    let mut cluster = SimulatedCluster::new(seed, hosts, shards, first.clone());
+    cluster.fault_rates = FaultRates::ALL_FAULTS;
+    cluster.run_until(FAULT_PERIOD_MS / 3);
     let mut second = first.clone();
     second.push(job("late", 8, 2_000));
-    world.configure(second.clone());
-    world.run_until(ROUGH_MS * 2 / 3);
+    cluster.configure(second.clone());
+    cluster.run_until(FAULT_PERIOD_MS * 2 / 3);
     let third: Vec<JobSpec> = second
         .iter()
         .filter(|spec| spec.name.as_str() != "late")
         .cloned()
         .collect();
-    world.configure(third.clone());
-    world.run_until(ROUGH_MS);
-    world.heal();
+    cluster.configure(third.clone());
+    cluster.run_until(FAULT_PERIOD_MS);
+    cluster.stop_faults();
     let all = tasks(&third);
-    let over = |world: &World| {
+    let over = |cluster: &SimulatedCluster| {
         all.iter()
-            .all(|task| world.stages(task).iter().all(|stage| stage.is_over()))
+            .all(|task| cluster.stages(task).iter().all(|stage| stage.is_over()))
     };
-    if let Err(problem) = world.run_until_done(PATIENCE_MS, over) {
-        panic!("{problem}: {}", describe(&world, &all));
+    if let Err(problem) = cluster.run_until_done(COMPLETION_TIMEOUT_MS, over) {
+        panic!("{problem}: {}", describe(&cluster, &all));
     }
-    check_end(&mut world, seed, &third);
+    check_end(&mut cluster, seed, &third);
     RunCounts {
-        claims: world.count_notes(|note| matches!(note, ShardNote::Claimed(_))),
-        evictions: world.count_notes(|note| matches!(note, ShardNote::Evicted(_))),
-        losses: world.count_notes(|note| matches!(note, ShardNote::Lost)),
+        claims: cluster.count_notes(|note| matches!(note, ShardNote::Claimed(_))),
+        evictions: cluster.count_notes(|note| matches!(note, ShardNote::Evicted(_))),
+        losses: cluster.count_notes(|note| matches!(note, ShardNote::Lost)),
     }
 }
 
-fn describe(world: &World, tasks: &[TaskId]) -> String {
+fn describe(cluster: &SimulatedCluster, tasks: &[TaskId]) -> String {
     let open = tasks.iter().filter_map(|task| {
-        let stages = world.stages(task);
+        let stages = cluster.stages(task);
         let over = stages.iter().all(|stage| stage.is_over());
         (!over).then(|| format!("{task}: {stages:?}"))
     });
     open.collect::<Vec<_>>().join(", ")
 }
 
-fn check_end(world: &mut World, seed: u64, jobs: &[JobSpec]) {
-    world.truth.count_starts(world.workers.values());
-    world.truth.count_starts(world.past_workers.iter());
+fn check_end(cluster: &mut SimulatedCluster, seed: u64, jobs: &[JobSpec]) {
+    cluster.checker.count_starts(cluster.workers.values());
+    cluster
+        .checker
+        .count_starts(cluster.replaced_workers.iter());
     for spec in jobs {
         for index in 0..spec.tasks {
             let task = TaskId {
                 job: spec.name.clone(),
                 index,
             };
-            let stages = world.stages(&task);
-            assert_eq!(stages.len(), 1, "seed {seed}: {task} stands in {stages:?}");
+            let stages = cluster.stages(&task);
+            assert_eq!(
+                stages.len(),
+                1,
+                "seed {seed}: {task} is not in exactly one shard: {stages:?}"
+            );
             let finished = matches!(stages[0], TaskStage::Finished(_));
-            let starts = world.truth.starts.get(&task).copied().unwrap_or(0);
+            let starts = cluster.checker.starts.get(&task).copied().unwrap_or(0);
             if spec.repeatable {
                 assert!(finished, "seed {seed}: {task} ended as {:?}", stages[0]);
             } else {
@@ -108,12 +119,13 @@
             }
             assert!(
                 starts >= 1 || !finished,
-                "seed {seed}: {task} finished unstarted"
+                "seed {seed}: {task} finished without a start"
             );
         }
     }
-    let workers = world.workers.values().chain(&world.past_workers);
-    RunTruth::check_attempts(workers).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
+    let workers = cluster.workers.values().chain(&cluster.replaced_workers);
+    InvariantChecker::check_attempts(workers)
+        .unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
 }
 
 fn run_seeds(first: u64, count: u64, hosts: usize, shards: usize) {
@@ -125,19 +137,19 @@
         sum.losses += counts.losses;
     }
     println!("{count} seeds: {sum:?}");
-    // Runs in which little went wrong would prove little.
+    // Guards against runs with too few takeovers and evictions to test anything.
     let seeds = count as usize;
     assert!(sum.claims >= seeds * 4, "{sum:?}");
     assert!(sum.evictions >= seeds, "{sum:?}");
     assert!(sum.losses >= seeds / 2, "{sum:?}");
 }
 
-/// Seeds for a longer run: `SANDSHELF_SEEDS=first:count cargo test --release -p sandshelf-lease long_run -- --nocapture`.
+/// Runs the given seeds: `SANDSHELF_SEEDS=first:count cargo test --release -p sandshelf-lease long_run -- --nocapture`.
 fn long_run() {
-    let Ok(wish) = std::env::var("SANDSHELF_SEEDS") else {
+    let Ok(text) = std::env::var("SANDSHELF_SEEDS") else {
         return;
     };
-    let (first, count) = wish
+    let (first, count) = text
         .split_once(':')
         .expect("SANDSHELF_SEEDS is FIRST:COUNT");
     let first: u64 = first.parse().expect("FIRST is a number");
--- a/crates/lease/tests/book.rs
+++ b/crates/lease/tests/shard_state.rs
@@ -1,4 +1,4 @@
-//! The task book: what counts once, and that reading it back comes to the same state.
+//! The durable state of a shard: stale records change nothing, and reading a snapshot and the journal restores the state.
 
 use proptest::prelude::*;
 use sandshelf_cases::cases;
@@ -23,7 +23,7 @@
     }
 }
 
-fn added(tasks: u32) -> JournalRecord {
+fn job_added(tasks: u32) -> JournalRecord {
     JournalRecord::JobAdded {
         job: JobSpec {
             name: JobId::from("job"),
@@ -64,51 +64,62 @@
     }
 }
 
-fn book_of(records: &[JournalRecord]) -> ShardState {
-    let mut book = ShardState::default();
+fn state_after(records: &[JournalRecord]) -> ShardState {
+    let mut shard_state = ShardState::default();
     for record in records {
-        book.apply(record);
+        shard_state.apply(record);
     }
-    book
+    shard_state
 }
 
-/// The finish of an attempt that was given up counts nothing, and the newer attempt's does.
+/// The finish of an attempt that was requeued has no effect, and the finish of the newer attempt has.
 fn finish_of_an_older_attempt() {
-    let mut book = book_of(&[added(1), placed(0, 1), requeued(0, 1), placed(0, 2)]);
-    assert_eq!(book.apply(&finished(0, 1)), RecordEffect::Stale);
-    let stage = |book: &ShardState| book.task_state(&task(0)).map(|cell| cell.stage.clone());
-    assert!(matches!(stage(&book), Some(TaskStage::Placed(_))));
-    assert_eq!(book.stats.late_finishes, 1);
-    assert_eq!(book.apply(&finished(0, 2)), RecordEffect::Applied);
-    assert_eq!(stage(&book), Some(TaskStage::Finished("out-2".to_owned())));
-    assert_eq!(book.apply(&finished(0, 2)), RecordEffect::Stale);
-    assert_eq!(book.stats.finished, 1);
+    let mut shard_state = state_after(&[job_added(1), placed(0, 1), requeued(0, 1), placed(0, 2)]);
+    assert_eq!(shard_state.apply(&finished(0, 1)), RecordEffect::Stale);
+    let stage = |shard_state: &ShardState| {
+        shard_state
+            .task_state(&task(0))
+            .map(|task_state| task_state.stage.clone())
+    };
+    assert!(matches!(stage(&shard_state), Some(TaskStage::Placed(_))));
+    assert_eq!(shard_state.stats.late_finishes, 1);
+    assert_eq!(shard_state.apply(&finished(0, 2)), RecordEffect::Applied);
+    assert_eq!(
+        stage(&shard_state),
+        Some(TaskStage::Finished("out-2".to_owned()))
+    );
+    assert_eq!(shard_state.apply(&finished(0, 2)), RecordEffect::Stale);
+    assert_eq!(shard_state.stats.finished, 1);
 }
 
-/// An eviction is recorded once; the next attempt begins at its checkpoint.
+/// An eviction counts once, and its checkpoint is kept for the next attempt.
 fn eviction_counts_once() {
-    let mut book = book_of(&[added(1), placed(0, 1), requeued(0, 1)]);
-    assert_eq!(book.apply(&requeued(0, 1)), RecordEffect::Stale);
-    let cell = book.task_state(&task(0)).expect("it is known");
-    assert_eq!(cell.checkpoint.as_deref(), Some("checkpoint-1"));
-    assert_eq!(cell.evictions, 1);
+    let mut shard_state = state_after(&[job_added(1), placed(0, 1), requeued(0, 1)]);
+    assert_eq!(shard_state.apply(&requeued(0, 1)), RecordEffect::Stale);
+    let task_state = shard_state.task_state(&task(0)).expect("the task is known");
+    assert_eq!(task_state.checkpoint.as_deref(), Some("checkpoint-1"));
+    assert_eq!(task_state.evictions, 1);
 }
 
-/// A cancellation beats all but a finish.
-fn cancellation_beats_all_but_a_finish() {
+/// A cancellation ends all tasks but those that have finished; later finishes have no effect.
+fn cancellation_keeps_finished_tasks() {
     let cancelled = JournalRecord::Cancelled {
         job: JobId::from("job"),
     };
-    let mut book = book_of(&[added(3), placed(0, 1), placed(1, 1), finished(1, 1)]);
-    assert_eq!(book.apply(&cancelled), RecordEffect::Applied);
-    assert_eq!(book.apply(&finished(0, 1)), RecordEffect::Stale);
+    let mut shard_state = state_after(&[job_added(3), placed(0, 1), placed(1, 1), finished(1, 1)]);
+    assert_eq!(shard_state.apply(&cancelled), RecordEffect::Applied);
+    assert_eq!(shard_state.apply(&finished(0, 1)), RecordEffect::Stale);
     let stages: Vec<TaskStage> = (0..3)
-        .filter_map(|index| book.task_state(&task(index)).map(|cell| cell.stage.clone()))
+        .filter_map(|index| {
+            shard_state
+                .task_state(&task(index))
+                .map(|task_state| task_state.stage.clone())
+        })
         .collect();
     assert_eq!(stages[0], TaskStage::Cancelled);
     assert_eq!(stages[1], TaskStage::Finished("out-1".to_owned()));
     assert_eq!(stages[2], TaskStage::Cancelled);
-    assert_eq!(book.placed_count(), 0);
+    assert_eq!(shard_state.placed_count(), 0);
 }
 
 fn any_record() -> impl Strategy<Value = JournalRecord> {
@@ -127,26 +138,26 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn snapshot_and_tail_come_to_the_same_state(
+    fn snapshot_and_journal_tail_restore_the_state(
         records in proptest::collection::vec(any_record(), 0..60),
-        cut in 0_usize..60,
+        split in 0_usize..60,
     ) {
-        let mut all = vec![added(4)];
+        let mut all = vec![job_added(4)];
         all.extend(records);
-        let cut = cut.min(all.len());
-        let snapshot = encode_snapshot(&book_of(&all[..cut]));
-        let tail: Vec<(u64, Vec<JournalRecord>)> = all[cut..]
+        let split = split.min(all.len());
+        let snapshot = encode_snapshot(&state_after(&all[..split]));
+        let tail: Vec<(u64, Vec<JournalRecord>)> = all[split..]
             .iter()
             .enumerate()
             .map(|(position, record)| (position as u64, vec![record.clone()]))
             .collect();
-        let read = decode_snapshot(Some(&snapshot), &tail).expect("its own bytes");
-        prop_assert_eq!(read, book_of(&all));
+        let read = decode_snapshot(Some(&snapshot), &tail).expect("the snapshot was just encoded");
+        prop_assert_eq!(read, state_after(&all));
     }
 }
 
 cases! {
-    older_attempts_finish_counts_nothing => finish_of_an_older_attempt();
+    finish_of_an_older_attempt_is_ignored => finish_of_an_older_attempt();
     eviction_is_recorded_once => eviction_counts_once();
-    cancellation_is_final => cancellation_beats_all_but_a_finish();
+    cancellation_is_final => cancellation_keeps_finished_tasks();
 }
--- a/crates/lease/tests/slices.rs
+++ b/crates/lease/tests/slices.rs
@@ -1,4 +1,4 @@
-//! Slices of a quota: their sum never passes it, whoever writes when, and a task as large as the quota can start.
+//! Slices of a quota: their sum never exceeds the quota, whichever owner writes at what time, and one shard may get all of it.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     })
 }
 
-/// A write on its way to the store.
+/// A write of the row that has been sent but has not reached the store.
 struct SentWrite {
     number: usize,
     epoch: u64,
@@ -28,37 +28,39 @@
     row: QuotaRow,
 }
 
-/// Owners plan on rows read at any time, and their writes arrive late, or are lost, or lose their answers.
-fn sum_never_passes_the_quota(seeds: u64) {
+/// Owners plan from rows that may be outdated; their writes arrive late or never, or the answers to them are lost.
+///
+/// After each step, neither the slices in use nor the slices in the row may exceed the quota in sum.
+fn sum_never_exceeds_the_quota(seeds: u64) {
     for seed in 0..seeds {
-        let mut source = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut row = QuotaRow::default();
         let mut version = 0_u64;
         let mut epochs = [1_u64; 4];
-        let mut keepers: [SliceTracker; 4] = Default::default();
+        let mut trackers: [SliceTracker; 4] = Default::default();
         let mut read: Vec<(u64, QuotaRow)> = vec![(0, row.clone()); 4];
         let mut used: BTreeMap<usize, ResourceSize> = BTreeMap::new();
         let mut sent: Vec<SentWrite> = Vec::new();
         for step in 0..4_000 {
-            let number = source.random_range(0..4);
-            match source.random_range(0..20) {
+            let number = rng.random_range(0..4);
+            match rng.random_range(0..20) {
                 0 => {
-                    // A new owner: it uses nothing until its epoch stands in the row.
+                    // A new owner takes over; it uses nothing until the slice in the row carries its epoch.
                     epochs[number] += 1;
-                    keepers[number] = SliceTracker::default();
+                    trackers[number] = SliceTracker::default();
                     used.remove(&number);
                 }
                 1..6 => read[number] = (version, row.clone()),
                 6..12 => {
                     let wanted = ResourceSize::new(
-                        source.random_range(0..8_000),
-                        source.random_range(0..8_000),
-                        source.random_range(0..4),
+                        rng.random_range(0..8_000),
+                        rng.random_range(0..8_000),
+                        rng.random_range(0..4),
                     );
                     let (base, seen) = read[number].clone();
                     let epoch = epochs[number];
-                    let keeper = &mut keepers[number];
-                    let plan = keeper.plan(base, &seen, &shard(number), epoch, &QUOTA, &wanted);
+                    let tracker = &mut trackers[number];
+                    let plan = tracker.plan(base, &seen, &shard(number), epoch, &QUOTA, &wanted);
                     if let Some(size) = plan.use_now {
                         used.insert(number, size);
                     }
@@ -71,18 +73,19 @@
                 }
                 _ if sent.is_empty() => {}
                 _ => {
-                    let position = source.random_range(0..sent.len());
+                    let position = rng.random_range(0..sent.len());
                     let write = sent.swap_remove(position);
                     if write.base != version {
                         continue;
                     }
                     row = write.row;
                     version += 1;
-                    let answered = source.random_range(0..3) > 0;
+                    let answered = rng.random_range(0..3) > 0;
                     if answered && epochs[write.number] == write.epoch {
                         let name = shard(write.number);
-                        let keeper = &mut keepers[write.number];
-                        if let Some(size) = keeper.note_written(version, &row, &name, write.epoch) {
+                        let tracker = &mut trackers[write.number];
+                        if let Some(size) = tracker.note_written(version, &row, &name, write.epoch)
+                        {
                             used.insert(write.number, size);
                         }
                     }
@@ -93,14 +96,17 @@
                 in_use.fits_in(&QUOTA),
                 "seed {seed} step {step}: {in_use} in use"
             );
-            let cut = sum(row.slices.values().map(|slice| slice.size));
-            assert!(cut.fits_in(&QUOTA), "seed {seed} step {step}: {cut} cut");
+            let sliced = sum(row.slices.values().map(|slice| slice.size));
+            assert!(
+                sliced.fits_in(&QUOTA),
+                "seed {seed} step {step}: {sliced} in slices"
+            );
         }
     }
 }
 
-/// A shard that needs the whole quota for one task gets it when the others need nothing.
-fn one_shard_may_have_it_all() {
+/// A shard that wants the whole quota gets it where the other shards have no slices.
+fn one_shard_may_get_the_whole_quota() {
     let row = QuotaRow::default();
     let SlicePlan::Raise(row) = row.plan(&shard(0), 1, &QUOTA, &QUOTA) else {
         panic!("the slice is raised");
@@ -115,8 +121,8 @@
     assert!(matches!(plan, SlicePlan::Raise(_)));
 }
 
-/// An owner that was followed by another leaves the slice alone.
-fn earlier_owner_is_told() {
+/// An owner doesn't change or use a slice that a later owner has written.
+fn earlier_owner_is_superseded() {
     let row = QuotaRow::default();
     let SlicePlan::Raise(row) = row.plan(&shard(0), 5, &QUOTA, &QUOTA) else {
         panic!("the slice is raised");
@@ -127,7 +133,7 @@
 }
 
 cases! {
-    sum_stays_within_the_quota => sum_never_passes_the_quota(40);
-    whole_quota_for_one_shard => one_shard_may_have_it_all();
-    later_owner_comes_first => earlier_owner_is_told();
+    sum_stays_within_the_quota => sum_never_exceeds_the_quota(40);
+    whole_quota_for_one_shard => one_shard_may_get_the_whole_quota();
+    slice_of_a_later_owner_is_kept => earlier_owner_is_superseded();
 }
--- a/crates/lease/tests/support/jobs.rs
+++ b/crates/lease/tests/support/jobs.rs
@@ -1,12 +1,12 @@
-//! Declarations for the runs.
+//! Job declarations for simulated runs.
 
 use sandshelf_config::{ConfigSet, JobKind, JobSpec, TeamQuota, UrgencyLevel};
 use sandshelf_model::{JobId, Millis, ResourceSize, TeamId};
 
-/// What one task of the runs' jobs holds.
+/// The resources reserved for one task.
 pub const TASK_SIZE: ResourceSize = ResourceSize::new(1_000, 1_000, 0);
 
-/// A repeatable job without checkpoints.
+/// A job whose tasks may run more than once but can't be checkpointed.
 pub fn job(name: &str, tasks: u32, run_ms: Millis) -> JobSpec {
     JobSpec {
         name: JobId::from(name),
@@ -24,7 +24,7 @@
 }
 
 /// A job whose tasks can be checkpointed.
-pub fn checkpointed(name: &str, tasks: u32, run_ms: Millis) -> JobSpec {
+pub fn checkpointable_job(name: &str, tasks: u32, run_ms: Millis) -> JobSpec {
     JobSpec {
         checkpoint: true,
         ..job(name, tasks, run_ms)
@@ -32,15 +32,15 @@
 }
 
 /// A job whose tasks may run at most once.
-pub fn once(name: &str, tasks: u32, run_ms: Millis) -> JobSpec {
+pub fn at_most_once_job(name: &str, tasks: u32, run_ms: Millis) -> JobSpec {
     JobSpec {
         repeatable: false,
         ..job(name, tasks, run_ms)
     }
 }
 
-/// A set of these jobs with a quota that never binds.
-pub fn set_of(jobs: Vec<JobSpec>) -> ConfigSet {
+/// A configuration with these jobs and a quota that is never used up.
+pub fn config_set(jobs: Vec<JobSpec>) -> ConfigSet {
     ConfigSet {
         jobs,
         teams: vec![TeamQuota {
--- a/crates/lease/tests/support/mod.rs
+++ b/crates/lease/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! A small world for randomised runs: entry hosts, the store, workers, and a network that delays, loses and repeats.
+//! Support for simulated runs: entry hosts, the store, workers, and a network that delays, loses and repeats messages.
 //!
-//! Time is virtual and every choice comes from one seed, so that each run repeats exactly.
+//! Time is virtual and every random choice comes from one seed, so that each run can be repeated exactly.
 
 #![allow(dead_code)]
 
+pub mod checker;
+pub mod cluster;
 pub mod faults;
 pub mod jobs;
-pub mod truth;
-pub mod world;
