--- a/crates/lease/tests/edge_cases.rs
+++ b/crates/lease/tests/edge_cases.rs
@@ -235,7 +235,8 @@
     run_until_finished(&mut cluster, &wanted);
 }
 
-/// The owner dies after `step` events of an eviction: the task resumes from its checkpoint, on one worker, and finishes once.
+/// The owner dies `step` events after an eviction began: the task resumes from its checkpoint and finishes once, and at
+/// most one eviction is recorded.
 fn owner_dies_while_evicting(step: usize) {
     let wanted = task("long", 0);
     let mut cluster = SimulatedCluster::new(13, 2, 1, vec![checkpointable_job("long", 1, 12_000)]);
--- a/crates/lease/tests/explored.rs
+++ b/crates/lease/tests/explored.rs
@@ -39,6 +39,7 @@
 /// A message in flight.
 #[derive(Clone)]
 struct Message {
+    /// The position of the owner that sent it.
     from: usize,
     action: ShardAction,
 }
@@ -54,11 +55,16 @@
     shard: ShardId,
 }
 
+/// One step of an exploration; messages are given by their position among those in flight.
 #[derive(Clone, Copy, Debug)]
 enum Choice {
+    /// A message and the answer to it arrive.
     Deliver(usize),
+    /// A message arrives; the answer to it is lost.
     DeliverLosingAnswer(usize),
+    /// A message is lost.
     Drop(usize),
+    /// This much time passes, in milliseconds; workers and owners notice it.
     Pass(Millis),
 }
 
@@ -140,7 +146,7 @@
         let ShardAction::SendOrders { worker, orders } = action else {
             return self.store.serve(&self.shard, action);
         };
-        let worker_state = self.workers.get_mut(worker).expect("a listed worker");
+        let worker_state = self.workers.get_mut(worker).expect("the worker is listed");
         let report = worker_state.handle(self.now, orders);
         Some(ShardEvent::WorkerAnswered {
             worker: worker.clone(),
@@ -208,7 +214,7 @@
                 return;
             }
             self.pass(20);
-            // Until the exploration begins, the second owner's messages are dropped, so that it claims nothing.
+            // Until the exploration begins, the second owner's messages are dropped, so that it doesn't claim the shard.
             self.messages.retain(|message| message.from == 0);
         }
         panic!("the task does not start");
@@ -218,7 +224,7 @@
 /// The state from which an exploration starts.
 #[derive(Clone, Copy, Debug)]
 enum Start {
-    /// The first owner runs the task.
+    /// The first owner holds the shard and the task runs.
     Running,
     /// The second owner has just taken over; the first owner's last messages are still in flight.
     TakenOver,
@@ -319,7 +325,7 @@
     repeatable_running => every_interleaving(Start::Running, vec![job("plain", 1, 60_000)]);
     repeatable_taken_over => every_interleaving(Start::TakenOver, vec![job("plain", 1, 60_000)]);
     repeatable_one_fenced => every_interleaving(Start::OneFenced, vec![job("plain", 1, 60_000)]);
-    once_taken_over => every_interleaving(Start::TakenOver, vec![at_most_once_job("once", 1, 60_000)]);
-    once_one_fenced => every_interleaving(Start::OneFenced, vec![at_most_once_job("once", 1, 60_000)]);
+    at_most_once_taken_over => every_interleaving(Start::TakenOver, vec![at_most_once_job("once", 1, 60_000)]);
+    at_most_once_one_fenced => every_interleaving(Start::OneFenced, vec![at_most_once_job("once", 1, 60_000)]);
     short_task_that_ends => every_interleaving(Start::Running, vec![job("short", 1, 400)]);
 }
--- a/crates/lease/tests/handoff.rs
+++ b/crates/lease/tests/handoff.rs
@@ -38,11 +38,11 @@
     };
     assert_eq!(shard_state.apply(&record), RecordEffect::Applied);
     if handed_off {
-        let handed_off = JournalRecord::HandedOff {
+        let handoff_record = JournalRecord::HandedOff {
             to: ShardId::from("elsewhere"),
             handoff: Box::new(handoff(2)),
         };
-        assert_eq!(shard_state.apply(&handed_off), RecordEffect::Applied);
+        assert_eq!(shard_state.apply(&handoff_record), RecordEffect::Applied);
     }
     let before = shard_state.task_state(&moved()).cloned();
     assert_eq!(shard_state.apply(&record), RecordEffect::Stale);
@@ -79,11 +79,11 @@
     cluster.run_until(5_000);
     let host = cluster.owner_of(&shard).expect("the shard has an owner");
     let before = cluster.owner(&host, &shard).counts().records;
-    let late = ShardEvent::InboxRead {
+    let late_answer = ShardEvent::InboxRead {
         read_number: 1,
         handoffs: vec![handoff(7)],
     };
-    cluster.feed(&host, &shard, late);
+    cluster.feed(&host, &shard, late_answer);
     cluster.run_until(8_000);
     assert_eq!(cluster.owner(&host, &shard).counts().records, before);
 }
@@ -95,7 +95,7 @@
     let mut cluster = SimulatedCluster::new(5, 2, 2, vec![job("wide", tasks, 15_000)]);
     cluster.run_until(110_000);
     let name = JobId::from("wide");
-    let mut away = 0;
+    let mut handed_off = 0;
     for index in 0..tasks {
         let task = TaskId {
             job: name.clone(),
@@ -108,14 +108,14 @@
         );
         let home = home_shard(&name, index, &shards).expect("there are shards");
         let task_state = cluster.durable_state(home).task_state(&task).cloned();
-        away += usize::from(
+        handed_off += usize::from(
             task_state
                 .is_some_and(|task_state| matches!(task_state.stage, TaskStage::HandedOff(_))),
         );
     }
     let finishes = cluster.count_notes(|note| matches!(note, ShardNote::Finished(_)));
     assert_eq!(finishes, tasks as usize);
-    assert!(away <= tasks as usize);
+    assert!(handed_off <= tasks as usize);
 }
 
 /// A job that fits on no worker is recorded as unplaceable, and doesn't delay other jobs.
--- a/crates/lease/tests/load_bounds.rs
+++ b/crates/lease/tests/load_bounds.rs
@@ -48,7 +48,7 @@
     while cluster.worker_running(&task).is_none() {
         assert!(
             cluster.now < began + 60_000,
-            "the task of {name} does not start within 60 s"
+            "the task of job {name} does not start within 60 s"
         );
         cluster.run_until(cluster.now + 10);
     }
@@ -57,16 +57,16 @@
 
 /// Fifty thousand tasks are cancelled at once: this takes few writes, and an urgent task starts in time meanwhile.
 fn cancellation_flood() {
-    let flood = vec![job("flood", 50_000, 600_000), job("other", 4, 1_000)];
-    let mut cluster = default_cluster(1, 2, 1, flood);
+    let jobs = vec![job("flood", 50_000, 600_000), job("other", 4, 1_000)];
+    let mut cluster = default_cluster(1, 2, 1, jobs);
     cluster.run_until(20_000);
     let commits = cluster.store.table.commits;
-    let calm = vec![job("other", 4, 1_000)];
-    let revision = cluster.add_config(calm.clone());
+    let remaining_jobs = vec![job("other", 4, 1_000)];
+    let revision = cluster.add_config(remaining_jobs.clone());
     for host in cluster.host_ids() {
         cluster.configure_host(&host, revision);
     }
-    let delay = urgent_delay(&mut cluster, calm, "urgent");
+    let delay = urgent_delay(&mut cluster, remaining_jobs, "urgent");
     assert!(
         delay <= MAX_URGENT_DELAY_MS,
         "the urgent task started after {delay} ms"
@@ -147,7 +147,7 @@
     assert!(cluster.count_notes(|note| matches!(note, ShardNote::Quarantined(_))) >= 1);
 }
 
-/// A task that fails wherever it runs is given up after it has failed on three workers, and no worker is quarantined for it.
+/// A task that fails wherever it runs is given up after it has failed on three workers, and no worker is quarantined.
 fn task_that_fails_everywhere() {
     let mut bad = job("bad", 1, 800);
     bad.program = "fail".to_owned();
--- a/crates/lease/tests/shard_state.rs
+++ b/crates/lease/tests/shard_state.rs
@@ -72,7 +72,7 @@
     shard_state
 }
 
-/// The finish of an attempt that was requeued has no effect, and the finish of the newer attempt has.
+/// The finish of a requeued attempt has no effect; the finish of its task's newer attempt is applied.
 fn finish_of_an_older_attempt() {
     let mut shard_state = state_after(&[job_added(1), placed(0, 1), requeued(0, 1), placed(0, 2)]);
     assert_eq!(shard_state.apply(&finished(0, 1)), RecordEffect::Stale);
@@ -122,6 +122,7 @@
     assert_eq!(shard_state.placed_count(), 0);
 }
 
+/// Any of these records for four tasks with up to four attempts each; many are stale.
 fn any_record() -> impl Strategy<Value = JournalRecord> {
     prop_oneof![
         (0_u32..4, 1_u32..5).prop_map(|(index, number)| placed(index, number)),
--- a/crates/lease/tests/slices.rs
+++ b/crates/lease/tests/slices.rs
@@ -1,4 +1,5 @@
-//! Slices of a quota: their sum never exceeds the quota, whichever owner writes at what time, and one shard may get all of it.
+//! Slices of a quota: their sum never exceeds the quota, in whatever order owners write, and one shard may get the whole
+//! quota.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +17,16 @@
 
 fn sum(sizes: impl Iterator<Item = ResourceSize>) -> ResourceSize {
     sizes.fold(ResourceSize::default(), |sum, size| {
-        sum.plus(&size).expect("small sizes")
+        sum.plus(&size).expect("the sum does not overflow")
     })
 }
 
 /// A write of the row that has been sent but has not reached the store.
 struct SentWrite {
+    /// The number of the shard whose owner sent it.
     number: usize,
     epoch: u64,
+    /// The row version on which the write is conditional.
     base: u64,
     row: QuotaRow,
 }
