--- a/crates/lease/tests/edge_cases.rs
+++ b/crates/lease/tests/edge_cases.rs
@@ -71,7 +71,7 @@
 /// The old owner can reach the worker but not the store, the new owner the store but not the worker.
 ///
 /// The old owner keeps renewing the task's lease, so that a start elsewhere before the silence time has passed
-/// would run the task twice.
+/// would run the task on two workers.
 fn old_owner_reaches_the_worker(seed: u64) {
     let wanted = task("long", 0);
     let mut cluster = SimulatedCluster::new(seed, 2, 1, vec![job("long", 1, 60_000)]);
@@ -95,8 +95,8 @@
     run_until_finished(&mut cluster, &wanted);
 }
 
-/// As above, but the new owner releases the shard at once: the third owner has to wait until the same time as the
-/// second would have, or the task runs twice.
+/// Like [`old_owner_reaches_the_worker`], but the new owner releases the shard at once: the third owner has to wait
+/// until the same time as the second would have, or the task runs on two workers.
 fn release_keeps_the_silence_wait(seed: u64) {
     let wanted = task("long", 0);
     let mut cluster = SimulatedCluster::new(seed, 3, 1, vec![job("long", 1, 60_000)]);
@@ -194,7 +194,8 @@
     assert_eq!(cluster.count_notes(is_claim), claims);
 }
 
-/// As above, and the owner is requested to release its shard meanwhile: it does, and the next owner finishes the tasks.
+/// Like [`every_answer_lost`], and the owner is requested to release its shard meanwhile: it does, and the next owner
+/// finishes the tasks.
 fn release_while_answers_are_lost(seed: u64) {
     let times = LeaseTimes::derive(800, 8_000, 60_000);
     let mut cluster = SimulatedCluster::with_times(seed, 2, 1, vec![job("plain", 6, 300)], times);
