--- a/crates/lease/tests/edge_cases.rs
+++ b/crates/lease/tests/edge_cases.rs
@@ -288,8 +288,8 @@
     run_until_finished(&mut cluster, &task("other", 0));
 }
 
-/// Workers have less capacity than the platform lists for them: they refuse the starts that exceed it, and the tasks
-/// finish without evictions.
+/// Workers have less capacity than the platform lists for them: they start nothing that exceeds it, and no task is
+/// evicted for it.
 fn worker_smaller_than_listed() {
     let mut cluster = SimulatedCluster::new(19, 1, 1, vec![job("plain", 20, 2_000)]);
     for worker in cluster.workers.keys().cloned().collect::<Vec<_>>() {
@@ -452,7 +452,7 @@
     new_owner_with_an_older_configuration_cancels_nothing => successor_with_an_older_configuration();
     owner_dies_after_each_step_of_an_eviction => for_steps(40, owner_dies_while_evicting);
     cancellation_wins_over_eviction_and_finish => for_steps(40, cancel_races_evict_and_finish);
-    workers_smaller_than_listed_finish_all_tasks => worker_smaller_than_listed();
+    workers_smaller_than_listed_are_not_overcommitted => worker_smaller_than_listed();
     at_most_once_task_is_not_restarted_after_worker_loss => lost_worker_of_at_most_once_task();
     finish_is_recorded_though_the_owner_dies_at_each_step => for_steps(30, owner_dies_after_a_finish);
     job_may_be_declared_again => job_declared_again();
