--- a/crates/sandshelfd/src/jobs/station.rs
+++ b/crates/sandshelfd/src/jobs/agent.rs
@@ -43,11 +43,11 @@
 const GATHER: Duration = Duration::from_millis(4);
 
 /// Asks the control thread what this host knows of the shard.
-pub type SightQuestions = UnboundedSender<oneshot::Sender<ShardObservation>>;
+pub type ObservationRequests = UnboundedSender<oneshot::Sender<ShardObservation>>;
 
 /// Where the owner of an epoch takes connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnerPlace {
+pub struct OwnerEndpoint {
     /// The owner.
     pub owner: HostId,
     /// Its epoch.
@@ -57,11 +57,11 @@
 }
 
 /// Serves whoever owns the shard, for as long as the process lives; has to run within a `LocalSet`.
-pub async fn run_station(
+pub async fn run_agent(
     settings: JobSettings,
     client: WorkerClient,
-    mut place: watch::Receiver<Option<OwnerPlace>>,
-    questions: SightQuestions,
+    mut place: watch::Receiver<Option<OwnerEndpoint>>,
+    questions: ObservationRequests,
     stopping: watch::Receiver<bool>,
 ) {
     while !*stopping.borrow() {
@@ -90,9 +90,9 @@
 /// Carries orders of one owner until the connection ends.
 async fn serve_owner(
     settings: &JobSettings,
-    owner: &OwnerPlace,
+    owner: &OwnerEndpoint,
     client: WorkerClient,
-    questions: &SightQuestions,
+    questions: &ObservationRequests,
     stopping: watch::Receiver<bool>,
 ) {
     let connected = timeout(CONNECT_WITHIN, TcpStream::connect(owner.address)).await;
@@ -103,12 +103,12 @@
     let (read, write) = stream.into_split();
     let mut frames = FramedRead::new(read, framing());
     let mut greeter = FramedWrite::new(write, framing());
-    let greeting = RelayHandshake::new(
+    let handshake = RelayHandshake::new(
         HostId::from(settings.host.as_str()),
         settings.hall.clone(),
         settings.processor_millicores,
     );
-    let greeted = greeter.send(Bytes::from(encode_handshake(&greeting)));
+    let greeted = greeter.send(Bytes::from(encode_handshake(&handshake)));
     if greeted.await.is_err() {
         return;
     }
@@ -150,7 +150,7 @@
     station: Rc<RefCell<RelayAgent>>,
     calls: RefCell<WorkerCalls>,
     answered: Rc<Notify>,
-    questions: &'a SightQuestions,
+    questions: &'a ObservationRequests,
 }
 
 impl OrderDesk<'_> {
--- a/crates/sandshelfd/src/jobs/intake.rs
+++ b/crates/sandshelfd/src/jobs/intake.rs
@@ -13,9 +13,9 @@
 
 use crate::clock;
 use crate::jobs::meters::StoreCall;
-use crate::jobs::pages::PageReads;
+use crate::jobs::pages::PageReader;
 use crate::jobs::records::JOBS_TABLE;
-use crate::jobs::takeover::{decode_jobs, takeover_reads};
+use crate::jobs::takeover::{decode_jobs, takeover_reader};
 use crate::jobs::writer::OwnerStore;
 use crate::logging::event;
 
@@ -46,7 +46,7 @@
             }
             Ok(FeedPage::HistoryGone) => {
                 event("history_gone", &[("table", &JOBS_TABLE)]);
-                let jobs = store.read_jobs(&takeover_reads()).await;
+                let jobs = store.read_jobs(&takeover_reader()).await;
                 after = jobs.follow_from;
                 jobs.events
             }
@@ -72,7 +72,7 @@
     let mut unreadable = UnreadableEntries::default();
     loop {
         let sent = clock::now();
-        let reads = PageReads::new(StoreCall::ListWorkers, PATIENCE);
+        let reads = PageReader::new(StoreCall::ListWorkers, PATIENCE);
         let listed = reads.read_part(&store, &range).await;
         let (list, faults) = decode_workers(&listed.rows);
         let names = faults.keys().map(|key| WorkerId::from(key.as_str()));
--- a/crates/sandshelfd/src/jobs/meters.rs
+++ b/crates/sandshelfd/src/jobs/meters.rs
@@ -196,7 +196,7 @@
 }
 
 /// Shows an owner's figures.
-pub fn show_load(counts: &SchedulerCounts) {
+pub fn set_load_gauges(counts: &SchedulerCounts) {
     gauge!("sandshelf_jobs_open").set(counts.jobs as f64);
     gauge!("sandshelf_tasks_waiting").set(counts.waiting as f64);
     gauge!("sandshelf_tasks_running").set(counts.runs as f64);
@@ -213,7 +213,7 @@
 }
 
 /// Shows how many hosts offer to carry an owner's orders, how many carry some, and how many orders are under way there.
-pub fn show_relays(figures: &DispatcherStats) {
+pub fn set_relay_gauges(figures: &DispatcherStats) {
     gauge!("sandshelf_relays_offered").set(figures.offered as f64);
     gauge!("sandshelf_relays_in_use").set(figures.in_use as f64);
     gauge!("sandshelf_relayed_orders_open").set(figures.open as f64);
@@ -234,7 +234,7 @@
 }
 
 /// Shows whether this host owns the shard, how old the newest durable write is, and the configuration in force.
-pub fn show_host(owns: bool, write_age: Option<Duration>, config: Option<u64>) {
+pub fn set_host_gauges(owns: bool, write_age: Option<Duration>, config: Option<u64>) {
     gauge!("sandshelf_shards_held").set(f64::from(u8::from(owns)));
     gauge!("sandshelf_write_age_seconds").set(write_age.map_or(0.0, |age| age.as_secs_f64()));
     gauge!("sandshelf_config_revision").set(config.unwrap_or(0) as f64);
--- a/crates/sandshelfd/src/jobs/mod.rs
+++ b/crates/sandshelfd/src/jobs/mod.rs
@@ -1,6 +1,7 @@
 //! Serves job queues on the users' platform: any host takes jobs in, and one of them at a time gives orders to workers.
 
 mod accept;
+mod agent;
 mod calls;
 mod face;
 mod halls;
@@ -13,7 +14,6 @@
 mod queues;
 mod records;
 mod relays;
-mod station;
 mod takeover;
 mod writer;
 
@@ -40,7 +40,7 @@
 use crate::jobs::health::StoreHealth;
 use crate::jobs::owner::{run_owner, OwnerParts};
 use crate::jobs::queues::{watch_operators, QueueView};
-use crate::jobs::relays::RelayFace;
+use crate::jobs::relays::RelayListener;
 use crate::logging::event;
 use crate::{clock, logging, meters as process_meters};
 
@@ -103,8 +103,8 @@
     let (ready_at, _) = launch(ready).await?;
     let metrics_at = open_metrics(settings.metrics_address).await;
     let metrics_at = metrics_at.map_or("none".to_owned(), |address| address.to_string());
-    let relays = settings.relay_address.map(RelayFace::open);
-    let relays_at = relays.as_ref().map(RelayFace::address);
+    let relays = settings.relay_address.map(RelayListener::open);
+    let relays_at = relays.as_ref().map(RelayListener::address);
     let relays_told = relays_at.map_or("none".to_owned(), |address| address.to_string());
     event(
         "started",
--- a/crates/sandshelfd/src/jobs/owner.rs
+++ b/crates/sandshelfd/src/jobs/owner.rs
@@ -1,9 +1,9 @@
-//! The control thread: claims the shard where nobody owns it, and runs its scheduler while this host does.
+//! The control thread: claims the shard when nobody owns it, and runs its scheduler while this host owns it.
 
-mod carry;
 mod claim;
 mod operators;
 mod recover;
+mod relaying;
 mod release;
 mod strength;
 mod tenure;
@@ -23,82 +23,82 @@
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
 use crate::clock;
+use crate::jobs::agent::{run_agent, OwnerEndpoint};
 use crate::jobs::calls::WorkerCalls;
 use crate::jobs::halls::HallView;
 use crate::jobs::health::StoreHealth;
 use crate::jobs::meters;
 use crate::jobs::notes::log_load;
-use crate::jobs::owner::carry::{RelayOffers, RelayPool};
 use crate::jobs::owner::recover::RunningTakeover;
+use crate::jobs::owner::relaying::{RelayOffers, RelayPool};
 use crate::jobs::owner::strength::HostStrength;
 use crate::jobs::owner::tenure::ShardTenure;
 use crate::jobs::queues::QueueView;
-use crate::jobs::relays::{serve_relays, RelayFace};
-use crate::jobs::station::{run_station, OwnerPlace};
+use crate::jobs::relays::{serve_relays, RelayListener};
 use crate::jobs::takeover::{PublishedState, RecordedState};
-use crate::jobs::writer::{OwnerStore, OwnerWrite, WriteEnd};
+use crate::jobs::writer::{OwnerStore, OwnerWrite, WriteResult};
 use crate::logging::event;
 
-/// How long ownership lasts without a durable renewal: several answer times of a store that is merely loaded.
+/// The ownership lease: how long ownership lasts after a durable renewal. It allows for several answers of a store that is only loaded.
 const SHARD_LEASE_MS: Millis = 1_200;
-/// How often the control thread acts without any event.
-const TICK: Duration = Duration::from_millis(25);
-/// From one rank to the next.
+/// The interval at which the control thread runs without any event.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// How much longer each further rank waits before it claims the shard.
 const STAGGER_MS: Millis = 60;
-/// How long a worker's answer is waited for.
-const WORKER_PATIENCE: Duration = Duration::from_millis(500);
+/// How long to wait for a worker's answer.
+const WORKER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a planned stop waits for orders that this host carries: the longest wait of a hold, and its answer's way. Requests of
-/// callers are served for 2.5 s meanwhile.
-const STATION_ENDS_WITHIN: Duration = Duration::from_millis(2_200);
+/// How long a planned stop waits for the orders that this host relays: the longest wait of a lease renewal, and the transfer of its
+/// answer. Requests of callers are served for 2.5 s meanwhile.
+const AGENT_STOP_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// How many events of workers are taken in at once, before ticks and changes of the jobs get their turn.
-const EVENTS_AT_ONCE: usize = 256;
-/// How often an owner logs its figures.
-const LOAD_EVERY_MS: Millis = 1_000;
+/// The most events handled in one batch before ticks and job changes are handled.
+const MAX_EVENT_BATCH: usize = 256;
+/// How often an owner logs and publishes its load.
+const LOAD_INTERVAL_MS: Millis = 1_000;
 
-/// What the control thread is made of.
+/// Everything that the control thread is started with.
 pub struct OwnerParts {
-    /// This incarnation.
+    /// This incarnation of the host.
     pub host: HostId,
-    /// The settings.
+    /// The settings of this host.
     pub settings: JobSettings,
-    /// Where hosts that carry orders connect; the settings name its address.
-    pub relays: Option<RelayFace>,
-    /// The store.
+    /// The listener to which relays connect, at the address in `settings`; none if this host takes no relays.
+    pub relays: Option<RelayListener>,
+    /// The client of the store.
     pub store: StoreClient,
-    /// The configuration of queues.
+    /// The current configuration of queues.
     pub queues: QueueView,
-    /// Which halls are evacuated.
+    /// The evacuated halls.
     pub halls: HallView,
-    /// What the latest calls say of the store.
+    /// The health of the store as seen by this host's calls.
     pub health: Arc<StoreHealth>,
-    /// Asks for a planned stop.
+    /// Receives the request for a planned stop.
     pub stop: mpsc::Receiver<()>,
-    /// Told when nothing is owned any more.
+    /// Notified once this host owns nothing any more.
     pub stopped: oneshot::Sender<()>,
 }
 
 enum OwnerMessage {
     RowRead(Result<StoredRow, StoreFault>),
-    Written(WriteEnd),
-    /// What the owner before that of an epoch published.
+    Written(WriteResult),
+    /// What earlier owners published, read for the owner of this epoch.
     PublishedRead(u64, Box<PublishedState>),
-    /// What is durable of jobs, read for the owner of an epoch.
+    /// The durable state of jobs, read for the owner of this epoch.
     RecordedRead(u64, Box<RecordedState>),
-    /// What a worker answered to the owner of an epoch.
+    /// A worker's answer to the owner of this epoch.
     Event(u64, JobEvent),
 }
 
-/// The scheduler of a shard that this host owns, and the calls that go with it.
+/// The scheduler of the shard while this host owns it, with its calls to workers and relays.
 struct OwnedShard {
     scheduler: JobScheduler,
     calls: WorkerCalls,
     relays: RelayPool,
-    stories: JobSummaries,
+    summaries: JobSummaries,
     tenure: ShardTenure,
     queues_version: u64,
-    /// The evacuated halls that the scheduler was told last.
+    /// The evacuated halls that the scheduler was last given.
     evacuated: BTreeSet<HallId>,
     followers: Vec<JoinHandle<()>>,
 }
@@ -120,33 +120,33 @@
     lease: ShardLease,
     rank: u32,
     claimed_at: Millis,
-    /// Since which epoch the owners before this one keep to what they publish of leases; 0 where that is not known.
+    /// The epoch since which all earlier owners keep to the lease rules that they publish; 0 where that is not known.
     rules_since: Epoch,
     takeover: Option<RunningTakeover>,
-    /// What was published, while relays are waited for.
+    /// What earlier owners published, with the epoch it was read for, while this host waits for relays.
     published: Option<(Epoch, PublishedState)>,
-    /// The jobs, where they were read before that wait was over.
+    /// The durable state of jobs, if it was read before that wait ended.
     recorded: Option<(Epoch, RecordedState)>,
-    /// Hosts that have come before there is anything to carry.
+    /// Hosts that offered to relay orders before this host's takeover got to using relays.
     offers: RelayOffers,
-    /// Whom this host carries orders for.
-    serves: watch::Sender<Option<OwnerPlace>>,
-    /// Until when other hosts go before this one, in milliseconds on its clock.
-    gives_way_until: Millis,
+    /// The owner that this host relays orders for; none while there is none.
+    served_owner: watch::Sender<Option<OwnerEndpoint>>,
+    /// Until when this host doesn't claim the shard, in milliseconds on its clock.
+    claims_paused_until: Millis,
     owned: Option<OwnedShard>,
-    waiting_batch: Option<CommitBatch>,
-    writing: bool,
-    /// Since when the owner's row is being read.
-    reading: Option<Millis>,
-    next_read: Millis,
-    next_load: Millis,
-    stop_by: Option<Millis>,
+    pending_batch: Option<CommitBatch>,
+    write_in_flight: bool,
+    /// When the read of the owner row in progress began; none if there is none.
+    read_started_at: Option<Millis>,
+    next_read_at: Millis,
+    next_load_at: Millis,
+    stop_deadline: Option<Millis>,
     released: bool,
     messages: mpsc::UnboundedSender<OwnerMessage>,
-    intake: mpsc::UnboundedSender<Vec<JobEvent>>,
+    feed: mpsc::UnboundedSender<Vec<JobEvent>>,
 }
 
-/// Runs the control thread until a planned stop has given everything up.
+/// Runs the control thread until a planned stop has released the shard.
 pub async fn run_owner(parts: OwnerParts) {
     let OwnerParts {
         host,
@@ -160,23 +160,23 @@
         stopped,
     } = parts;
     let (messages, mut inbox) = mpsc::unbounded_channel();
-    let (intake, mut intake_in) = mpsc::unbounded_channel();
+    let (feed, mut feed_inbox) = mpsc::unbounded_channel();
     let times = LeaseTimes {
         stagger_ms: STAGGER_MS,
         ..LeaseTimes::derive(SHARD_LEASE_MS, settings.max_lease_ms, Millis::MAX / 4)
     };
     let rank = HostStrength::of(&settings).draw_rank();
-    let (relay_news, mut relay_inbox) = mpsc::unbounded_channel();
-    let (serves, served) = watch::channel(None);
-    let (questions, mut asked) = mpsc::unbounded_channel();
-    let (stopping, stops) = watch::channel(false);
-    let station = match WorkerClient::new(0, WORKER_PATIENCE) {
-        Ok(client) => Some(spawn_local(run_station(
+    let (relay_events, mut relay_inbox) = mpsc::unbounded_channel();
+    let (served_owner, served_owner_changes) = watch::channel(None);
+    let (shard_queries, mut shard_query_inbox) = mpsc::unbounded_channel();
+    let (stopping, stop_changes) = watch::channel(false);
+    let agent = match WorkerClient::new(0, WORKER_TIMEOUT) {
+        Ok(client) => Some(spawn_local(run_agent(
             settings.clone(),
             client,
-            served,
-            questions,
-            stops,
+            served_owner_changes,
+            shard_queries,
+            stop_changes,
         ))),
         Err(error) => {
             event("client_failed", &[("error", &error)]);
@@ -184,7 +184,7 @@
         }
     };
     if let Some(face) = relays {
-        spawn_local(serve_relays(face, relay_news.clone()));
+        spawn_local(serve_relays(face, relay_events.clone()));
     }
     let mut owner = OwnerLoop {
         lease: ShardLease::new(host.clone(), times),
@@ -203,42 +203,42 @@
         published: None,
         recorded: None,
         offers: RelayOffers::default(),
-        serves,
-        gives_way_until: 0,
+        served_owner,
+        claims_paused_until: 0,
         owned: None,
-        waiting_batch: None,
-        writing: false,
-        reading: None,
-        next_read: 0,
-        next_load: 0,
-        stop_by: None,
+        pending_batch: None,
+        write_in_flight: false,
+        read_started_at: None,
+        next_read_at: 0,
+        next_load_at: 0,
+        stop_deadline: None,
         released: false,
         messages,
-        intake,
+        feed,
     };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while !owner.released {
         tokio::select! {
-            Some(message) = inbox.recv() => owner.take_messages(message, &mut inbox),
-            Some(events) = intake_in.recv() => owner.take_intake(events),
-            Some(news) = relay_inbox.recv() => owner.take_relay_news(news, &mut relay_inbox),
-            Some(reply) = asked.recv() => owner.tell_sight(reply),
+            Some(message) = inbox.recv() => owner.handle_messages(message, &mut inbox),
+            Some(events) = feed_inbox.recv() => owner.handle_feed_events(events),
+            Some(relay_event) = relay_inbox.recv() => owner.handle_relay_events(relay_event, &mut relay_inbox),
+            Some(reply) = shard_query_inbox.recv() => owner.answer_shard_query(reply),
             _ = ticks.tick() => owner.tick(),
             Some(()) = stop.recv() => owner.begin_stop(),
         }
     }
     let _ = stopping.send(true);
-    if let Some(station) = station {
-        let _ = timeout(STATION_ENDS_WITHIN, station).await;
+    if let Some(agent) = agent {
+        let _ = timeout(AGENT_STOP_TIMEOUT, agent).await;
     }
     let _ = stopped.send(());
 }
 
 impl OwnerLoop {
-    /// Takes a message in, and with it those that have come meanwhile: under load many events share one look at all
+    /// Handles a message together with those that have arrived since: under load, many events share one scheduling pass over all
     /// workers.
-    fn take_messages(
+    fn handle_messages(
         &mut self,
         first: OwnerMessage,
         inbox: &mut mpsc::UnboundedReceiver<OwnerMessage>,
@@ -254,29 +254,31 @@
                     }
                 }
                 other => {
-                    self.take_events(std::mem::take(&mut events));
-                    self.take_store_message(other);
+                    self.apply_events(std::mem::take(&mut events));
+                    self.handle_store_message(other);
                 }
             }
-            if events.len() >= EVENTS_AT_ONCE {
+            if events.len() >= MAX_EVENT_BATCH {
                 break;
             }
             next = inbox.try_recv().ok();
         }
-        self.take_events(events);
+        self.apply_events(events);
     }
 
-    fn take_store_message(&mut self, message: OwnerMessage) {
+    fn handle_store_message(&mut self, message: OwnerMessage) {
         match message {
-            OwnerMessage::RowRead(read) => self.take_row(read),
-            OwnerMessage::Written(end) => self.take_write(end),
-            OwnerMessage::PublishedRead(epoch, published) => self.take_published(epoch, *published),
-            OwnerMessage::RecordedRead(epoch, recorded) => self.take_recorded(epoch, *recorded),
+            OwnerMessage::RowRead(read) => self.handle_owner_row(read),
+            OwnerMessage::Written(result) => self.handle_write_result(result),
+            OwnerMessage::PublishedRead(epoch, published) => {
+                self.apply_published(epoch, *published)
+            }
+            OwnerMessage::RecordedRead(epoch, recorded) => self.apply_recorded(epoch, *recorded),
             OwnerMessage::Event(..) => {}
         }
     }
 
-    fn take_events(&mut self, events: Vec<JobEvent>) {
+    fn apply_events(&mut self, events: Vec<JobEvent>) {
         if events.is_empty() {
             return;
         }
@@ -285,17 +287,17 @@
         };
         let actions = owned.scheduler.handle_all(clock::now(), events);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
-        self.tell_relays();
+        self.send_relay_orders();
     }
 
-    /// Takes in what is followed in the store.
-    fn take_intake(&mut self, events: Vec<JobEvent>) {
+    /// Handles changes of jobs and workers that were read from the store.
+    fn handle_feed_events(&mut self, events: Vec<JobEvent>) {
         if let Some(owned) = &mut self.owned {
-            owned.relays.note_lists(&events);
+            owned.relays.note_worker_lists(&events);
         }
-        self.take_events(events);
+        self.apply_events(events);
     }
 
     fn tick(&mut self) {
@@ -309,7 +311,7 @@
             });
         }
         self.tick_relays(now);
-        self.show_load(now);
+        self.publish_load(now);
         self.write_next(now);
         if *self.lease.stage() == LeaseStage::Watching {
             self.watch(now);
@@ -318,45 +320,45 @@
         self.check_stop(now);
     }
 
-    /// Shows this host's figures from time to time, and the shard's where it owns that.
-    fn show_load(&mut self, now: Millis) {
-        if now < self.next_load {
+    /// Publishes this host's metrics when they are due. If it owns the shard, also publishes and logs the shard's load.
+    fn publish_load(&mut self, now: Millis) {
+        if now < self.next_load_at {
             return;
         }
-        self.next_load = now + LOAD_EVERY_MS;
+        self.next_load_at = now + LOAD_INTERVAL_MS;
         let renewed = self.lease.last_renewal();
         let write_age = renewed.map(|at| Duration::from_millis(now.saturating_sub(at)));
         let config = self.queues.get().map(|table| table.version);
-        meters::show_host(self.owned.is_some(), write_age, config);
+        meters::set_host_gauges(self.owned.is_some(), write_age, config);
         if let Some(owned) = &self.owned {
             let counts = owned.scheduler.counts(now);
-            let relays = owned.relays.figures();
+            let relays = owned.relays.stats();
             log_load(owned.scheduler.epoch(), &counts, &relays);
-            meters::show_load(&counts);
-            meters::show_relays(&relays);
+            meters::set_load_gauges(&counts);
+            meters::set_relay_gauges(&relays);
         }
     }
 
     fn write(&mut self, write: OwnerWrite) {
-        self.writing = true;
+        self.write_in_flight = true;
         let store = self.store.clone();
         let messages = self.messages.clone();
         spawn_local(async move {
-            let end = store.write(write).await;
-            let _ = messages.send(OwnerMessage::Written(end));
+            let result = store.write(write).await;
+            let _ = messages.send(OwnerMessage::Written(result));
         });
     }
 
-    /// Writes the batch that waits, or renews the ownership where that is due.
+    /// Writes the pending batch, or renews the ownership if that is due.
     fn write_next(&mut self, now: Millis) {
         let holding = matches!(
             self.lease.stage(),
             LeaseStage::Holding | LeaseStage::Recovering
         );
-        if self.writing || !holding {
+        if self.write_in_flight || !holding {
             return;
         }
-        let batch = match self.waiting_batch.take() {
+        let batch = match self.pending_batch.take() {
             Some(batch) => batch,
             None if self.lease.wants_renewal(now) => CommitBatch::default(),
             None => return,
@@ -369,12 +371,12 @@
         });
     }
 
-    fn take_write(&mut self, end: WriteEnd) {
+    fn handle_write_result(&mut self, result: WriteResult) {
         let now = clock::now();
-        self.writing = false;
-        match end {
-            WriteEnd::Lost => self.lose("another host's write came first"),
-            WriteEnd::Committed {
+        self.write_in_flight = false;
+        match result {
+            WriteResult::Lost => self.lose("another host's write came first"),
+            WriteResult::Committed {
                 sent,
                 stored,
                 batch,
@@ -387,7 +389,7 @@
                 let version = stored.version;
                 self.lease.note_committed(now, sent, version, stored.row);
                 if released {
-                    self.released = self.stop_by.is_some();
+                    self.released = self.stop_deadline.is_some();
                 } else if claimed {
                     self.read_takeover();
                 } else if self.owned.is_some() && batch > 0 {
@@ -395,24 +397,24 @@
                 }
             }
         }
-        // Between two writes, which follow one another without a pause where much changes.
+        // These checks run between two writes: where much changes, writes follow one another without a pause.
         self.check_takeover(now);
         self.check_stop(now);
         self.write_next(now);
     }
 
     fn handle(&mut self, job_event: JobEvent) {
-        self.take_events(vec![job_event]);
+        self.apply_events(vec![job_event]);
     }
 
-    fn act(&mut self, action: JobAction) {
+    fn perform(&mut self, action: JobAction) {
         match action {
             JobAction::Note(note) => self.log_note(&note),
             JobAction::Deposed => {
                 self.lose("a worker has seen a newer epoch, or this host was paused")
             }
             JobAction::Commit(batch) => {
-                self.waiting_batch = Some(batch);
+                self.pending_batch = Some(batch);
                 self.write_next(clock::now());
             }
             JobAction::Call {
@@ -431,7 +433,7 @@
             return;
         };
         let epoch = owned.scheduler.epoch();
-        let Some(call) = owned.relays.carry(clock::now(), &worker, address, call) else {
+        let Some(call) = owned.relays.route(clock::now(), &worker, address, call) else {
             return;
         };
         let messages = self.messages.clone();
--- a/crates/sandshelfd/src/jobs/owner/claim.rs
+++ b/crates/sandshelfd/src/jobs/owner/claim.rs
@@ -1,4 +1,4 @@
-//! Watches the shard's owner and claims the shard where that is gone.
+//! Watches the shard's owner, and claims the shard when the owner is gone.
 
 use rand::RngExt;
 use sandshelf_adapter::StoreFault;
@@ -13,15 +13,15 @@
 use crate::jobs::writer::OwnerWrite;
 use crate::logging::event;
 
-/// How often a host that is not the owner reads the owner's row.
+/// The pause between a read of the owner row and the next, on a host that is not the owner.
 const WATCH_EVERY_MS: Millis = 400;
 
-/// By how much longer hosts wait for one another at the very first claim: they start within 0.3 s, some of them slowly,
-/// and nobody waits for an owner yet.
+/// The factor by which ranks are multiplied for the very first claim of the shard. Hosts start within 0.3 s of each other, some of
+/// them slowly, and nothing depends on an owner yet.
 const FIRST_CLAIM_FACTOR: u32 = 5;
 
 impl OwnerLoop {
-    /// This host's place among those that would claim the shard.
+    /// This host's rank among the hosts that would claim the shard; the lowest rank claims first.
     fn claim_rank(&self) -> u32 {
         let owned_before = self.lease.row().is_some_and(|seen| seen.row.epoch > 0);
         if owned_before {
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Whether the shard's owner is an earlier life of this host: that is certainly over, and nobody has to wait for it.
-    fn follows_itself(&self) -> bool {
+    /// Whether the shard's owner is an earlier incarnation of this host, which has certainly ended, so that its lease needn't be waited
+    /// out. A weak host doesn't make use of this.
+    fn owner_is_earlier_incarnation(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
         let earlier = owner.is_some_and(|owner| {
@@ -42,16 +43,18 @@
         watching && earlier && HostStrength::of(&self.settings) != HostStrength::Weak
     }
 
-    /// Reads the owner's row from time to time, and claims the shard where its owner is gone.
+    /// Reads the owner row when that is due, and claims the shard if its owner is gone.
     pub(super) fn watch(&mut self, now: Millis) {
-        let free = self.lease.may_claim(now, self.claim_rank()) || self.follows_itself();
-        let free = free && now >= self.gives_way_until;
-        if free && !self.writing && self.stop_by.is_none() {
+        let free =
+            self.lease.may_claim(now, self.claim_rank()) || self.owner_is_earlier_incarnation();
+        let free = free && now >= self.claims_paused_until;
+        if free && !self.write_in_flight && self.stop_deadline.is_none() {
             self.claim(now);
             return;
         }
-        if self.reading.is_none() && now >= self.next_read && self.queues.get().is_some() {
-            self.reading = Some(now);
+        if self.read_started_at.is_none() && now >= self.next_read_at && self.queues.get().is_some()
+        {
+            self.read_started_at = Some(now);
             let store = self.store.clone();
             let messages = self.messages.clone();
             spawn_local(async move {
@@ -61,15 +64,15 @@
         }
     }
 
-    pub(super) fn take_row(&mut self, read: Result<StoredRow, StoreFault>) {
+    pub(super) fn handle_owner_row(&mut self, read: Result<StoredRow, StoreFault>) {
         let now = clock::now();
-        self.reading = None;
-        self.next_read = now + WATCH_EVERY_MS;
+        self.read_started_at = None;
+        self.next_read_at = now + WATCH_EVERY_MS;
         match read {
             Ok(row) => {
                 self.lease.note_read(now, row);
             }
-            // While the store is out nobody can renew: what was seen before says nothing about the owner.
+            // While the store is out nobody can renew, so the row seen before doesn't show that the owner is gone.
             Err(_) if *self.lease.stage() == LeaseStage::Watching => {
                 self.lease.return_to_watching()
             }
@@ -78,7 +81,7 @@
     }
 
     pub(super) fn claim(&mut self, now: Millis) {
-        let follows_itself = self.follows_itself();
+        let owner_is_earlier_incarnation = self.owner_is_earlier_incarnation();
         let (version, mut row) = self.lease.begin_claim(self.token());
         self.rules_since = row.rules_since;
         if row.rules_since == 0 {
@@ -90,7 +93,7 @@
             &[
                 ("epoch", &row.epoch),
                 ("rank", &self.rank),
-                ("own_earlier_life", &follows_itself),
+                ("own_earlier_life", &owner_is_earlier_incarnation),
                 ("version", &version),
             ],
         );
--- a/crates/sandshelfd/src/jobs/owner/operators.rs
+++ b/crates/sandshelfd/src/jobs/owner/operators.rs
@@ -1,11 +1,11 @@
-//! What operators write, as the scheduler of an owned shard is told it.
+//! Passes the operators' changes of queues and halls to the scheduler of an owned shard.
 
 use sandshelf_jobs::JobEvent;
 
 use super::OwnerLoop;
 
 impl OwnerLoop {
-    /// Tells the scheduler the rules of queues where they changed.
+    /// Passes the rules of queues to the scheduler if they have changed.
     pub(super) fn refresh_queues(&mut self) {
         let Some(table) = self.queues.get() else {
             return;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Tells it which halls are evacuated, where that changed.
+    /// Passes the evacuated halls to the scheduler if they have changed.
     pub(super) fn refresh_halls(&mut self) {
         let Some(owned) = &mut self.owned else {
             return;
--- a/crates/sandshelfd/src/jobs/owner/recover.rs
+++ b/crates/sandshelfd/src/jobs/owner/recover.rs
@@ -1,4 +1,4 @@
-//! Reads the shard's state after a claim, and gives way where that gets nowhere.
+//! Reads the shard's state after a claim, and releases the shard if the read stalls.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -10,95 +10,98 @@
 use sandshelf_model::Millis;
 use tokio::task::{spawn_local, JoinHandle};
 
-use super::{OwnedShard, OwnerLoop, OwnerMessage, SHARD_LEASE_MS, WORKER_PATIENCE};
+use super::{OwnedShard, OwnerLoop, OwnerMessage, SHARD_LEASE_MS, WORKER_TIMEOUT};
 use crate::clock;
 use crate::jobs::calls::WorkerCalls;
 use crate::jobs::intake::{follow_jobs, follow_workers};
-use crate::jobs::owner::carry::RelayPool;
+use crate::jobs::owner::relaying::RelayPool;
 use crate::jobs::owner::tenure::ShardTenure;
-use crate::jobs::pages::PageReads;
-use crate::jobs::takeover::{takeover_reads, PublishedState, RecordedState};
+use crate::jobs::pages::PageReader;
+use crate::jobs::takeover::{takeover_reader, PublishedState, RecordedState};
 use crate::logging::event;
 
-/// By how much longer than asked the state of a finished job is kept: callers' and owners' clocks differ.
-const KEEP_MARGIN_MS: Millis = 10_000;
-/// After so long without a page that came, while pages fail, a host gives the shard up: two pages on end that stayed silent.
-const STALLED_AFTER_MS: Millis = 3_000;
-/// For how long it doesn't claim the shard then: the last of the other hosts claims 1.1 s after it has seen the row, which it
-/// reads every 0.4 s.
-const GIVE_WAY_MS: Millis = 2_000;
-/// For how long after its claim a new owner waits for relays where it needs them: hosts look at the owner's row every 0.4 s.
-const RELAYS_WITHIN_MS: Millis = 600;
+/// How much longer than configured the state of a finished job is kept, because the clocks of callers and owners differ.
+const FINISHED_RETENTION_MARGIN_MS: Millis = 10_000;
+/// A host releases the shard if pages fail and none has arrived for this long: the time of two silent pages in a row.
+const STALL_TIMEOUT_MS: Millis = 3_000;
+/// How long a host doesn't claim the shard after such a release. The last of the other hosts claims 1.1 s after it has seen the row,
+/// which it reads every 0.4 s.
+const CLAIM_PAUSE_MS: Millis = 2_000;
+/// How long after its claim a new owner that needs relays waits for them at most. Hosts read the owner row every 0.4 s.
+const MAX_RELAY_WAIT_MS: Millis = 600;
 
-/// The reading of the shard's state, ended with its value.
+/// The read of the shard's state in progress; dropping it aborts the read.
 pub(super) struct RunningTakeover {
-    reads: Rc<PageReads>,
-    reading: JoinHandle<()>,
+    reader: Rc<PageReader>,
+    read_task: JoinHandle<()>,
 }
 
 impl Drop for RunningTakeover {
     fn drop(&mut self) {
-        self.reading.abort();
+        self.read_task.abort();
     }
 }
 
 impl OwnerLoop {
-    /// Reads first what is needed to hold the workers, then the jobs, which may take seconds over a thin link.
+    /// Reads first what is needed to renew the workers' leases, then the jobs, which may take seconds over a slow link.
     pub(super) fn read_takeover(&mut self) {
         let epoch = self.lease.row().map_or(0, |row| row.row.epoch);
         let store = self.store.clone();
         let messages = self.messages.clone();
-        let reads = Rc::new(takeover_reads());
-        let noted = reads.clone();
+        let reader = Rc::new(takeover_reader());
+        let task_reader = reader.clone();
         let halls = self.halls.clone();
-        let reading = spawn_local(async move {
-            let published = Box::new(store.read_published(&noted, &halls).await);
+        let read_task = spawn_local(async move {
+            let published = Box::new(store.read_published(&task_reader, &halls).await);
             let _ = messages.send(OwnerMessage::PublishedRead(epoch, published));
-            let recorded = Box::new(store.read_recorded(&noted).await);
+            let recorded = Box::new(store.read_recorded(&task_reader).await);
             let _ = messages.send(OwnerMessage::RecordedRead(epoch, recorded));
         });
-        self.takeover = Some(RunningTakeover { reads, reading });
+        self.takeover = Some(RunningTakeover { reader, read_task });
     }
 
-    /// Gives the shard up where pages fail and none comes although the store takes this host's writes: its renewals would keep
-    /// all others from the shard, where one with a better path to the store may read it. While the store takes no writes nobody
-    /// can claim, and the reading goes on.
+    /// Releases the shard if pages fail and none arrives although the store accepts this host's writes: its renewals would keep all
+    /// other hosts from the shard, one of which may have a better path to the store. While the store accepts no writes nobody can
+    /// claim the shard, and the read goes on.
     pub(super) fn check_takeover(&mut self, now: Millis) {
         let stalled_ms = match &self.takeover {
-            Some(running) => running.reads.stalled_ms(now),
+            Some(running) => running.reader.stalled_ms(now),
             None => return,
         };
         let renewed = self.lease.last_renewal();
         let renews = renewed.is_some_and(|at| now < at + SHARD_LEASE_MS);
-        if self.writing || !renews || stalled_ms < STALLED_AFTER_MS {
+        if self.write_in_flight || !renews || stalled_ms < STALL_TIMEOUT_MS {
             return;
         }
         self.takeover = None;
         self.published = None;
         self.owned = None;
-        self.gives_way_until = now + GIVE_WAY_MS;
+        self.claims_paused_until = now + CLAIM_PAUSE_MS;
         self.release("the takeover gets nowhere");
     }
 
-    /// Holds the workers from now on: their leases run out while the jobs are read.
+    /// Starts the scheduler and renews the workers' leases from now on, since they would expire while the jobs are read.
     ///
-    /// With the holds behind the reading, a host with an eighth of a core and 10 Mbit/s came to 490 workers 4 s after their
-    /// owner's death, when their leases were over.
-    pub(super) fn take_published(&mut self, epoch: u64, published: PublishedState) {
+    /// With the renewals after the read, a host with an eighth of a core and 10 Mbit/s reached 490 workers only 4 s after their
+    /// owner had died, when their leases had expired.
+    ///
+    /// Waits for relays first where they are needed; [`OwnerLoop::tick_relays`] calls it again meanwhile.
+    pub(super) fn apply_published(&mut self, epoch: u64, published: PublishedState) {
         if *self.lease.stage() != LeaseStage::Recovering || !self.is_epoch(epoch) {
             return;
         }
         let now = clock::now();
-        let known = published.roster.workers.len();
-        let offers = self.offers.values().map(|(greeting, _)| greeting);
-        let waits = waits_for_relays(self.settings.processor_millicores, known, offers);
-        if waits && now < self.claimed_at + RELAYS_WITHIN_MS {
+        let worker_count = published.roster.workers.len();
+        let offers = self.offers.values().map(|(handshake, _)| handshake);
+        let waits_for_more =
+            waits_for_relays(self.settings.processor_millicores, worker_count, offers);
+        if waits_for_more && now < self.claimed_at + MAX_RELAY_WAIT_MS {
             self.published = Some((epoch, published));
             return;
         }
         let offers = std::mem::take(&mut self.offers);
         let relays = RelayPool::new(now, epoch, &self.settings, &published.roster, offers);
-        let workers = match WorkerClient::new(epoch, WORKER_PATIENCE) {
+        let workers = match WorkerClient::new(epoch, WORKER_TIMEOUT) {
             Ok(workers) => workers,
             Err(error) => {
                 event("client_failed", &[("error", &error)]);
@@ -108,7 +111,7 @@
         self.lease.note_recovered();
         let limits = SchedulerLimits {
             max_lease_ms: self.settings.max_lease_ms,
-            keep_finished_ms: self.settings.keep_finished_ms + KEEP_MARGIN_MS,
+            keep_finished_ms: self.settings.keep_finished_ms + FINISHED_RETENTION_MARGIN_MS,
         };
         event(
             "shard_owned",
@@ -127,15 +130,15 @@
             roster: published.roster,
             silent: published.silent,
             store_ms: published.store_ms,
-            interference: published.strengths,
+            interference: published.interference,
             ..TakeoverInfo::default()
         };
-        let listing = follow_workers(self.store.clone(), self.intake.clone());
+        let listing = follow_workers(self.store.clone(), self.feed.clone());
         self.owned = Some(OwnedShard {
             scheduler: JobScheduler::new(limits, info),
             calls: WorkerCalls::new(workers),
             relays,
-            stories: JobSummaries::default(),
+            summaries: JobSummaries::default(),
             tenure: ShardTenure::new(self.lease.last_renewal().unwrap_or(self.claimed_at)),
             queues_version: 0,
             evacuated: BTreeSet::new(),
@@ -144,17 +147,17 @@
         self.check_tenure(now);
         self.refresh_queues();
         self.refresh_halls();
-        // A tick sends the first holds.
+        // A tick sends the first lease renewals.
         self.handle(JobEvent::Tick {
             wall_ms: clock::wall_ms(),
         });
         if let Some((epoch, recorded)) = self.recorded.take() {
-            self.take_recorded(epoch, recorded);
+            self.apply_recorded(epoch, recorded);
         }
     }
 
-    /// Takes in the jobs, and gives orders from now on.
-    pub(super) fn take_recorded(&mut self, epoch: u64, recorded: RecordedState) {
+    /// Passes the durable jobs to the scheduler, which gives orders from now on.
+    pub(super) fn apply_recorded(&mut self, epoch: u64, recorded: RecordedState) {
         self.takeover = None;
         if self.published.is_some() {
             self.recorded = Some((epoch, recorded));
@@ -175,14 +178,14 @@
                 ("jobs", &jobs.events.len()),
             ],
         );
-        let follow = follow_jobs(self.store.clone(), jobs.follow_from, self.intake.clone());
+        let follow = follow_jobs(self.store.clone(), jobs.follow_from, self.feed.clone());
         owned.followers.push(spawn_local(follow));
         let mut events = vec![JobEvent::StateRead {
             progress,
             claim_version: jobs.newest,
         }];
         events.extend(jobs.events);
-        self.take_events(events);
+        self.apply_events(events);
     }
 
     fn is_epoch(&self, epoch: u64) -> bool {
--- a/crates/sandshelfd/src/jobs/pages.rs
+++ b/crates/sandshelfd/src/jobs/pages.rs
@@ -33,14 +33,14 @@
 
 /// Reads of parts that belong together, and how far they have got.
 #[derive(Debug)]
-pub struct PageReads {
+pub struct PageReader {
     call: StoreCall,
     patience: CallTimeout,
     last_page: Cell<Millis>,
     failed: Cell<bool>,
 }
 
-impl PageReads {
+impl PageReader {
     /// Starts now.
     pub fn new(call: StoreCall, patience: CallTimeout) -> Self {
         Self {
--- a/crates/sandshelfd/src/jobs/records.rs
+++ b/crates/sandshelfd/src/jobs/records.rs
@@ -26,7 +26,7 @@
 /// The key of the marks of silent workers.
 pub const SILENT_KEY: &str = "silent";
 /// The key of what is learnt of images.
-pub const STRENGTHS_KEY: &str = "strengths";
+pub const INTERFERENCE_KEY: &str = "strengths";
 /// What follows a job's number in the key of its cancellation mark.
 pub const CANCEL_SUFFIX: &str = ".cancel";
 /// Sorts behind every key that begins with a job's number.
--- a/crates/sandshelfd/src/jobs/relays.rs
+++ b/crates/sandshelfd/src/jobs/relays.rs
@@ -37,13 +37,13 @@
 
 /// What the connections tell the owner's thread.
 #[derive(Debug)]
-pub enum RelayNews {
+pub enum RelayEvent {
     /// A host offers to carry orders.
-    Came(LinkNumber, RelayHandshake, UnboundedSender<Bytes>),
+    Connected(LinkNumber, RelayHandshake, UnboundedSender<Bytes>),
     /// A host says something.
-    Said(LinkNumber, RelayMessage),
+    MessageReceived(LinkNumber, RelayMessage),
     /// A connection is over.
-    Left(LinkNumber),
+    Disconnected(LinkNumber),
     /// A host that speaks another version was turned away.
     Refused,
 }
@@ -52,13 +52,13 @@
 ///
 /// It is opened before this host can own anything: where the settings leave the port to be chosen, what is published has to name the one that was.
 #[derive(Debug)]
-pub struct RelayFace {
+pub struct RelayListener {
     address: SocketAddr,
     /// None where the address could not be had yet.
     listener: Option<StdListener>,
 }
 
-impl RelayFace {
+impl RelayListener {
     /// Opens an address, or remembers it for later where it can't be had.
     pub fn open(address: SocketAddr) -> Self {
         let opened = StdListener::bind(address).and_then(|listener| {
@@ -105,7 +105,7 @@
 }
 
 /// Takes connections for as long as the process lives, and tells what comes over them; has to run within a `LocalSet`.
-pub async fn serve_relays(face: RelayFace, news: UnboundedSender<RelayNews>) {
+pub async fn serve_relays(face: RelayListener, news: UnboundedSender<RelayEvent>) {
     let address = face.address();
     let listener = face.listen().await;
     let mut link = 0;
@@ -123,42 +123,45 @@
     }
 }
 
-async fn serve_link(link: LinkNumber, stream: TcpStream, news: UnboundedSender<RelayNews>) {
+async fn serve_link(link: LinkNumber, stream: TcpStream, news: UnboundedSender<RelayEvent>) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut frames = FramedRead::new(read, framing());
-    let greeting = match timeout(GREETING_WITHIN, frames.next()).await {
+    let handshake = match timeout(GREETING_WITHIN, frames.next()).await {
         Ok(Some(Ok(frame))) => decode_handshake(&frame),
         _ => Err(RelayFault::Unreadable),
     };
-    let greeting = match greeting {
-        Ok(greeting) => greeting,
+    let handshake = match handshake {
+        Ok(handshake) => handshake,
         Err(fault) => {
-            let _ = news.send(RelayNews::Refused);
+            let _ = news.send(RelayEvent::Refused);
             return event("relay_refused", &[("link", &link), ("fault", &fault)]);
         }
     };
     let (outbox, waiting) = unbounded_channel();
-    if news.send(RelayNews::Came(link, greeting, outbox)).is_err() {
+    if news
+        .send(RelayEvent::Connected(link, handshake, outbox))
+        .is_err()
+    {
         return;
     }
     tokio::select! {
         () = read_messages(link, &mut frames, &news) => {}
         () = write_frames(write, waiting) => {}
     }
-    let _ = news.send(RelayNews::Left(link));
+    let _ = news.send(RelayEvent::Disconnected(link));
 }
 
 /// Reads until the connection ends or something comes that can't be read.
 async fn read_messages(
     link: LinkNumber,
     frames: &mut FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    news: &UnboundedSender<RelayNews>,
+    news: &UnboundedSender<RelayEvent>,
 ) {
     while let Some(Ok(frame)) = frames.next().await {
         match decode_message(&frame) {
             Ok(message) => {
-                let _ = news.send(RelayNews::Said(link, message));
+                let _ = news.send(RelayEvent::MessageReceived(link, message));
             }
             Err(fault) => {
                 event("relay_refused", &[("link", &link), ("fault", &fault)]);
--- a/crates/sandshelfd/src/jobs/takeover.rs
+++ b/crates/sandshelfd/src/jobs/takeover.rs
@@ -13,10 +13,10 @@
 use crate::jobs::accept::decode_row;
 use crate::jobs::halls::{evacuations, HallView};
 use crate::jobs::meters::StoreCall;
-use crate::jobs::pages::{PageReads, PartRows};
+use crate::jobs::pages::{PageReader, PartRows};
 use crate::jobs::records::{
-    job_ranges, shard_range, CANCEL_SUFFIX, PROGRESS_TABLE, ROSTER_KEY, SHARDS_TABLE, SILENT_KEY,
-    STRENGTHS_KEY,
+    job_ranges, shard_range, CANCEL_SUFFIX, INTERFERENCE_KEY, PROGRESS_TABLE, ROSTER_KEY,
+    SHARDS_TABLE, SILENT_KEY,
 };
 use crate::jobs::writer::OwnerStore;
 use crate::logging::event;
@@ -34,7 +34,7 @@
     /// Which of them had fallen silent.
     pub silent: SilentWorkers,
     /// What was learnt of images.
-    pub strengths: InterferenceRow,
+    pub interference: InterferenceRow,
     /// What the store's clock showed then, in milliseconds.
     pub store_ms: u64,
 }
@@ -60,13 +60,13 @@
 }
 
 /// Starts the reads of a takeover.
-pub fn takeover_reads() -> PageReads {
-    PageReads::new(StoreCall::TakeOver, PAGE_PATIENCE)
+pub fn takeover_reader() -> PageReader {
+    PageReader::new(StoreCall::TakeOver, PAGE_PATIENCE)
 }
 
 impl OwnerStore {
     /// Reads what an earlier owner published, and which halls are evacuated as of the claim, for as long as that takes.
-    pub async fn read_published(&self, reads: &PageReads, halls: &HallView) -> PublishedState {
+    pub async fn read_published(&self, reads: &PageReader, halls: &HallView) -> PublishedState {
         let (shards, evacuations) = (shard_range(SHARDS_TABLE), evacuations());
         let published = reads.read_part(self, &shards);
         let evacuated = reads.read_part(self, &evacuations);
@@ -75,17 +75,17 @@
         let named = |key: &str| join_value(&published.rows, key);
         let roster = named(ROSTER_KEY).and_then(|row| decode_row(&row, "roster"));
         let silent = named(SILENT_KEY).and_then(|row| decode_row(&row, "silent"));
-        let strengths = named(STRENGTHS_KEY).and_then(|row| decode_row(&row, "strengths"));
+        let interference = named(INTERFERENCE_KEY).and_then(|row| decode_row(&row, "strengths"));
         PublishedState {
             roster: roster.unwrap_or_default(),
             silent: silent.unwrap_or_default(),
-            strengths: strengths.unwrap_or_default(),
+            interference: interference.unwrap_or_default(),
             store_ms: published.store_ms,
         }
     }
 
     /// Reads all that is durable of jobs, for as long as that takes.
-    pub async fn read_recorded(&self, reads: &PageReads) -> RecordedState {
+    pub async fn read_recorded(&self, reads: &PageReader) -> RecordedState {
         let progress = reads.read_part(self, &shard_range(PROGRESS_TABLE)).await;
         RecordedState {
             progress: decode_all(&progress.rows),
@@ -94,7 +94,7 @@
     }
 
     /// Reads all jobs and cancellations, a few parts at a time, for as long as that takes.
-    pub async fn read_jobs(&self, reads: &PageReads) -> ListedJobs {
+    pub async fn read_jobs(&self, reads: &PageReader) -> ListedJobs {
         let parts = job_ranges().map(|range| async move { reads.read_part(self, &range).await });
         // A part that has to be asked for again holds up none of the others.
         let parts = stream::iter(parts).buffer_unordered(PARTS_AT_ONCE);
--- a/crates/sandshelfd/src/jobs/writer.rs
+++ b/crates/sandshelfd/src/jobs/writer.rs
@@ -19,8 +19,8 @@
 use crate::jobs::health::StoreHealth;
 use crate::jobs::meters::StoreCall;
 use crate::jobs::records::{
-    cancel_row, encode, job_row, progress_row, shard_row, single, PendingRow, OWNER_KEY,
-    PENDING_KEY, ROSTER_KEY, SHARDS_TABLE, SILENT_KEY, STRENGTHS_KEY,
+    cancel_row, encode, job_row, progress_row, shard_row, single, PendingRow, INTERFERENCE_KEY,
+    OWNER_KEY, PENDING_KEY, ROSTER_KEY, SHARDS_TABLE, SILENT_KEY,
 };
 use crate::logging::event;
 
@@ -45,7 +45,7 @@
 
 /// How a write ended.
 #[derive(Clone, Debug)]
-pub enum WriteEnd {
+pub enum WriteResult {
     /// It took effect.
     Committed {
         /// When the attempt that took effect was sent, or an earlier one.
@@ -97,7 +97,7 @@
     }
 
     /// Writes until it is certain that the write took effect or never will.
-    pub async fn write(&self, mut write: OwnerWrite) -> WriteEnd {
+    pub async fn write(&self, mut write: OwnerWrite) -> WriteResult {
         self.remove_jobs(&mut write.batch.forget).await;
         let request = row_write(&write);
         let sent = clock::now();
@@ -124,14 +124,14 @@
                 return committed(write, sent, current.version);
             }
             if current.version != write.version {
-                return WriteEnd::Lost;
+                return WriteResult::Lost;
             }
         }
     }
 }
 
-fn committed(write: OwnerWrite, sent: Millis, version: RowVersion) -> WriteEnd {
-    WriteEnd::Committed {
+fn committed(write: OwnerWrite, sent: Millis, version: RowVersion) -> WriteResult {
+    WriteResult::Committed {
         sent,
         stored: StoredRow {
             version,
@@ -175,8 +175,8 @@
         };
         puts.extend(long_row(PENDING_KEY, &row));
     }
-    if let Some(strengths) = &write.batch.interference {
-        puts.extend(long_row(STRENGTHS_KEY, strengths));
+    if let Some(interference) = &write.batch.interference {
+        puts.extend(long_row(INTERFERENCE_KEY, interference));
     }
     if let Some(roster) = &write.batch.roster {
         puts.extend(long_row(ROSTER_KEY, roster));
