--- a/crates/sandshelfd/src/jobs/calls.rs
+++ b/crates/sandshelfd/src/jobs/calls.rs
@@ -63,7 +63,7 @@
                 return not_sent(worker, &call);
             }
             let answered = call_worker(&client, worker, address, &call).await;
-            meters::note_order(&answered, sent_at.elapsed());
+            meters::record_order(&answered, sent_at.elapsed());
             answered
         }
     }
--- a/crates/sandshelfd/src/jobs/endpoints.rs
+++ b/crates/sandshelfd/src/jobs/endpoints.rs
@@ -77,7 +77,7 @@
         let _open = OpenRequest::new(&shared.open_requests);
         let started_at = SteadyInstant::now();
         let answer = answer_call(shared, request, data).await;
-        meters::note_answer(request.method(), answer.status, started_at.elapsed());
+        meters::record_answer(request.method(), answer.status, started_at.elapsed());
         let mut response = Response::new();
         response.set_status(answer.status);
         if answer.status == Status::Ok {
--- a/crates/sandshelfd/src/jobs/halls.rs
+++ b/crates/sandshelfd/src/jobs/halls.rs
@@ -1,4 +1,4 @@
-//! Keeps at hand which halls operators have evacuated.
+//! Keeps track of the halls that operators have evacuated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,14 +6,14 @@
 use sandshelf_adapter::{evacuated_hall, RowRange, StoredValue, CONFIG_TABLE, EVACUATION_KEYS};
 use sandshelf_model::HallId;
 
-/// What the newest row of a hall says, and its version.
+/// The state of a hall by its newest row, and that row's version.
 #[derive(Clone, Copy, Debug)]
-struct HallMark {
+struct HallState {
     version: u64,
     evacuated: bool,
 }
 
-/// The rows that say that halls are evacuated.
+/// The range of the rows that mark halls as evacuated.
 pub fn evacuation_range() -> RowRange {
     let (from, to) = EVACUATION_KEYS;
     RowRange {
@@ -24,57 +24,57 @@
     }
 }
 
-/// Which halls are evacuated; shared by whoever reads the rows and the owner's thread.
+/// The evacuated halls, shared by the readers of the rows and the control thread.
 #[derive(Clone, Debug, Default)]
 pub struct HallView {
-    marks: Arc<Mutex<BTreeMap<HallId, HallMark>>>,
+    states: Arc<Mutex<BTreeMap<HallId, HallState>>>,
 }
 
 impl HallView {
-    /// The halls that are evacuated.
+    /// The halls that are evacuated now.
     pub fn evacuated(&self) -> BTreeSet<HallId> {
-        let marks = self.lock();
-        let evacuated = marks.iter().filter(|(_, mark)| mark.evacuated);
+        let states = self.lock();
+        let evacuated = states.iter().filter(|(_, state)| state.evacuated);
         evacuated.map(|(hall, _)| hall.clone()).collect()
     }
 
-    /// Takes in rows that have changed, up to a version; older ones than are known change nothing.
+    /// Applies changed rows, known up to a version. Rows that are older than the known ones are ignored.
     pub fn apply_changes(&self, rows: &[StoredValue], up_to: u64) {
-        mark_halls(&mut self.lock(), rows, up_to);
+        apply_rows(&mut self.lock(), rows, up_to);
     }
 
-    /// Takes in all rows as of a version: halls without one are not evacuated, unless something newer is known. Nobody sees a hall as taken back
-    /// in between.
+    /// Applies all rows as of a version. Halls without a row are then not evacuated, unless a newer row of them is known. No reader sees the
+    /// state in between, in which an evacuated hall would appear to be returned.
     pub fn replace_all(&self, rows: &[StoredValue], as_of: u64) {
-        let mut marks = self.lock();
-        for mark in marks.values_mut() {
-            if mark.version <= as_of {
-                mark.evacuated = false;
+        let mut states = self.lock();
+        for state in states.values_mut() {
+            if state.version <= as_of {
+                state.evacuated = false;
             }
         }
-        mark_halls(&mut marks, rows, as_of);
+        apply_rows(&mut states, rows, as_of);
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<HallId, HallMark>> {
-        self.marks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<HallId, HallState>> {
+        self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Notes what rows say of halls, unless something newer is known.
-fn mark_halls(marks: &mut BTreeMap<HallId, HallMark>, rows: &[StoredValue], up_to: u64) {
+/// Applies rows to the states of halls; rows that are older than the known ones are ignored.
+fn apply_rows(states: &mut BTreeMap<HallId, HallState>, rows: &[StoredValue], up_to: u64) {
     for row in rows {
         let Some(hall) = evacuated_hall(&row.key) else {
             continue;
         };
-        // The version of a removal may not be told.
+        // The store may report a removal without its version.
         let version = match row.version {
             0 => up_to,
             version => version,
         };
         let evacuated = row.value.is_some();
-        let known = marks.get(&hall);
+        let known = states.get(&hall);
         if known.is_none_or(|known| known.version <= version) {
-            marks.insert(hall, HallMark { version, evacuated });
+            states.insert(hall, HallState { version, evacuated });
         }
     }
 }
--- a/crates/sandshelfd/src/jobs/health.rs
+++ b/crates/sandshelfd/src/jobs/health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers this host.
+//! Tracks whether the store answers this host.
 
 use std::future::Future;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,58 +7,58 @@
 use sandshelf_model::Millis;
 
 use crate::clock::{self, SteadyInstant};
-use crate::jobs::meters::{self, CallEnd, StoreCall};
+use crate::jobs::meters::{self, StoreCall, StoreCallResult};
 use crate::jobs::notes::label;
 use crate::logging::event;
 
-/// After so many calls that failed on end the store counts as out for callers, until one of the calls that watch it
-/// succeeds; single answers get lost also while it serves.
+/// After this many consecutive failed calls, callers are told that the store is out until a call of this host succeeds. Single answers are
+/// also lost while the store works.
 const OUT_AFTER_FAILURES: u32 = 3;
-/// After this long without a good call the host takes no new connections, in milliseconds.
+/// After this many milliseconds of failed calls the host reports that it is not ready, so that it gets no new connections.
 const UNREADY_AFTER_MS: Millis = 1_500;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct HealthState {
-    /// Since when calls have failed without a good one in between.
+    /// When the first failed call since the last successful one ended; none if the latest call succeeded.
     failing_since: Option<Millis>,
     failures: u32,
 }
 
-/// What the latest calls to the store say of it; shared by all that call it.
+/// The health of the store as seen by the latest calls of this host. All tasks that call the store share it.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     state: Mutex<HealthState>,
 }
 
 impl StoreHealth {
-    /// Waits for a call to the store, and notes how it ended and how long it took.
+    /// Awaits a store call, and records its result and duration.
     pub async fn watch<T>(
         &self,
         kind: StoreCall,
         call: impl Future<Output = Result<StoreAnswer<T>, StoreFault>>,
     ) -> Result<T, StoreFault> {
-        let began = SteadyInstant::now();
+        let started_at = SteadyInstant::now();
         let result = call.await;
         let (fault, bytes) = match &result {
             Ok(answer) => (None, answer.bytes),
             Err(fault) => (Some(*fault), fault.progress().bytes),
         };
-        let ended = CallEnd {
+        let call_result = StoreCallResult {
             kind,
             fault,
             bytes,
-            took: began.elapsed(),
+            took: started_at.elapsed(),
         };
-        meters::note_store(&ended);
-        self.note(&ended);
+        meters::record_store_call(&call_result);
+        self.record(&call_result);
         result.map(|answer| answer.value)
     }
 
-    /// The first failure and the first success after one are logged; the failure with how much of the answer had come after
-    /// how long, which tells a thin link from a silent store.
-    fn note(&self, ended: &CallEnd) {
+    /// Updates the health by a result. Logs the first failure and the first success after it. The failure is logged with the duration and the
+    /// received bytes, which distinguish a slow link from a silent store.
+    fn record(&self, call_result: &StoreCallResult) {
         let mut state = self.lock();
-        let Some(fault) = ended.fault else {
+        let Some(fault) = call_result.fault else {
             state.failures = 0;
             if let Some(since) = state.failing_since.take() {
                 let lasted = clock::now().saturating_sub(since);
@@ -73,10 +73,10 @@
                 "store_lost",
                 &[
                     ("fault", &fault),
-                    ("kind", &label(&ended.kind)),
-                    ("after_ms", &ended.took.as_millis()),
+                    ("kind", &label(&call_result.kind)),
+                    ("after_ms", &call_result.took.as_millis()),
                     ("answer_begun", &fault.progress().begun),
-                    ("answer_bytes", &ended.bytes),
+                    ("answer_bytes", &call_result.bytes),
                 ],
             );
         }
@@ -86,7 +86,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the latest calls all failed, so that another is not worth a caller's time.
+    /// Whether so many of the latest calls failed that callers shouldn't wait for another.
     pub fn is_out(&self) -> bool {
         let state = self.lock();
         state.failures >= OUT_AFTER_FAILURES
@@ -98,7 +98,7 @@
         state.failing_since.is_some()
     }
 
-    /// Whether the store has failed this host for long enough to send callers elsewhere.
+    /// Whether calls of this host have failed for so long that callers should go to other hosts.
     pub fn is_long_out(&self) -> bool {
         let state = self.lock();
         let since = state.failing_since;
--- a/crates/sandshelfd/src/jobs/meters.rs
+++ b/crates/sandshelfd/src/jobs/meters.rs
@@ -1,6 +1,6 @@
 //! Metrics of the daemon that serves jobs on the users' platform.
 //!
-//! Every label comes from a closed set, or is a queue of the configuration.
+//! Each label value comes from a closed set or is the name of a configured queue.
 
 use std::time::Duration;
 
@@ -12,82 +12,82 @@
 
 use crate::jobs::notes::label;
 
-/// Answers to callers, by call and status.
+/// The answers to callers, by HTTP method and status.
 const ANSWERS: &str = "sandshelf_job_answers_total";
-/// Seconds from a caller's request to its answer, by call.
+/// The seconds from a caller's request to its answer, by HTTP method.
 const ANSWER_SECONDS: &str = "sandshelf_job_answer_seconds";
-/// Calls to the store, by kind and outcome.
+/// The store calls, by kind and outcome.
 const STORE_CALLS: &str = "sandshelf_store_calls_total";
-/// Seconds that calls to the store took, by kind.
+/// The seconds that store calls took, by kind.
 const STORE_SECONDS: &str = "sandshelf_store_call_seconds";
-/// Bytes of the store's answers, also of those that did not come whole, by kind of call.
+/// The bytes of the store's answers, partial ones included, by kind of call.
 const STORE_BYTES: &str = "sandshelf_store_bytes_total";
-/// Orders to workers, by kind and outcome.
+/// The calls to workers, by kind and outcome.
 const ORDERS: &str = "sandshelf_orders_total";
-/// Seconds that orders to workers took, by kind; a hold's include the wait that it asked for.
+/// The seconds that calls to workers took, by kind. Those of a lease renewal (kind `hold`) include the wait that it requested.
 const ORDER_SECONDS: &str = "sandshelf_order_seconds";
-/// Seconds that tasks waited for a worker, by queue and by whether their step is the job's first.
+/// The seconds that tasks waited for a worker, by queue and by step: `first` or `later`.
 const START_SECONDS: &str = "sandshelf_task_wait_seconds";
-/// Runs that ended, by outcome.
+/// The ended runs, by outcome.
 const ENDS: &str = "sandshelf_task_ends_total";
-/// Runs that were ordered to stop, by cause.
+/// The runs that were ordered to stop, by cause.
 const STOPS: &str = "sandshelf_task_stops_total";
-/// Runs that were given up without an end, by cause.
+/// The runs that were given up without a reported end, by cause.
 const LOSSES: &str = "sandshelf_runs_lost_total";
-/// Workers that were believed silent, gone or failing, by belief.
+/// How often a worker was considered silent, gone or failing, by that belief.
 const BELIEFS: &str = "sandshelf_worker_beliefs_total";
-/// How often this owner was not sure any more that nobody had followed it.
+/// How often this owner ceased to be sure that no successor had taken over.
 const UNSURE: &str = "sandshelf_ownership_unsure_total";
-/// Crashes of workers that were noted with a task that may have caused them: one for each such task.
+/// The worker crashes recorded for tasks that may have caused them; a crash counts once for each such task.
 const CRASHES: &str = "sandshelf_task_crashes_noted_total";
-/// Tasks that were given up since they crash the workers that start them.
+/// The tasks that were given up because they crash their workers.
 const GIVEN_UP: &str = "sandshelf_tasks_given_up_total";
-/// Jobs that came to their end, by queue and state.
+/// The finished jobs, by queue and state.
 const JOBS: &str = "sandshelf_jobs_finished_total";
-/// Seconds from a job's acceptance to its end, by queue.
+/// The seconds from a job's acceptance to its completion, by queue.
 const JOB_SECONDS: &str = "sandshelf_job_seconds";
-/// Jobs that ended later than their objective, by queue.
+/// The jobs that completed later than their objective, by queue.
 const LATE_JOBS: &str = "sandshelf_jobs_late_total";
 
-/// Messages between hosts, or answers in them, that changed nothing, by fault.
+/// The relay messages, or answers in them, that were ignored, by fault.
 const RELAY_FAULTS: &str = "sandshelf_relay_faults_total";
 
-/// What a call to the store is for.
+/// The purpose of a store call; it is the label value `kind` in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A job or a mark of cancellation is written for a caller.
+    /// Writes a job or a cancellation for a caller.
     WriteJob,
-    /// A caller asks for a job or a queue.
+    /// Reads a job or the pending counts of queues for a caller.
     ReadJob,
-    /// The owner writes progress, or renews its ownership.
+    /// Writes the owner's progress, claims, renews or releases its ownership, or removes the rows of jobs.
     Commit,
-    /// The owner's row is read.
+    /// Reads the owner row.
     ReadOwner,
-    /// Rows of the shard are read by a new owner, or by one to which changes are no longer told.
+    /// Reads rows of the shard for a new owner, or for one whose feed of changes has a gap.
     TakeOver,
-    /// Changes are waited for.
+    /// Waits for changes.
     Follow,
-    /// The list of workers is read.
+    /// Reads the list of workers.
     ListWorkers,
-    /// The configuration is read.
+    /// Reads the configuration and the evacuated halls.
     ReadConfig,
 }
 
-/// How a call to the store ended.
+/// The result of a store call.
 #[derive(Clone, Copy, Debug)]
-pub struct CallEnd {
-    /// What it was for.
+pub struct StoreCallResult {
+    /// The purpose of the call.
     pub kind: StoreCall,
-    /// Why there is no result; none where there is one.
+    /// Why the call failed; none if it succeeded.
     pub fault: Option<StoreFault>,
-    /// How much of the answer's body came.
+    /// The received bytes of the answer's body.
     pub bytes: u64,
-    /// How long it took.
+    /// The duration of the call.
     pub took: Duration,
 }
 
-/// Counts a call to the store.
-pub fn note_store(ended: &CallEnd) {
+/// Records a store call.
+pub fn record_store_call(ended: &StoreCallResult) {
     let kind = label(&ended.kind);
     let outcome = ended.fault.map(|fault| fault.to_string());
     let outcome = outcome.unwrap_or_else(|| "answered".to_owned());
@@ -96,20 +96,20 @@
     histogram!(STORE_SECONDS, "kind" => kind).record(ended.took.as_secs_f64());
 }
 
-/// Counts an answer to a caller.
-pub fn note_answer(method: Method, status: Status, took: Duration) {
+/// Records an answer to a caller.
+pub fn record_answer(method: Method, status: Status, took: Duration) {
     let call = method.as_str();
     counter!(ANSWERS, "call" => call, "status" => status.code.to_string()).increment(1);
     histogram!(ANSWER_SECONDS, "call" => call).record(took.as_secs_f64());
 }
 
-/// Counts an order to a worker by its answer.
-pub fn note_order(answered: &JobEvent, took: Duration) {
-    let (kind, outcome) = match answered {
+/// Records a call to a worker by its answer; other events are ignored.
+pub fn record_order(event: &JobEvent, took: Duration) {
+    let (kind, outcome) = match event {
         JobEvent::StartAnswered(_, _, answer) => ("start", outcome_of(answer)),
         JobEvent::StopAnswered(_, _, answer) => ("stop", outcome_of(answer)),
         JobEvent::PaceAnswered(_, _, answer) => ("pace", outcome_of(answer)),
-        JobEvent::RenewalAnswered(_, answer) => ("hold", hold_outcome(answer)),
+        JobEvent::RenewalAnswered(_, answer) => ("hold", renewal_outcome(answer)),
         _ => return,
     };
     counter!(ORDERS, "kind" => kind, "outcome" => outcome).increment(1);
@@ -129,7 +129,7 @@
     }
 }
 
-fn hold_outcome(answer: &RenewalAnswer) -> &'static str {
+fn renewal_outcome(answer: &RenewalAnswer) -> &'static str {
     match answer {
         RenewalAnswer::Report(_) => "done",
         RenewalAnswer::Fenced => "refused",
@@ -137,8 +137,8 @@
     }
 }
 
-/// Counts what a scheduler decided or learnt.
-pub fn note_decision(note: &JobNote) {
+/// Records a decision or observation of the scheduler.
+pub fn record_decision(note: &JobNote) {
     match note {
         JobNote::Placed {
             key,
@@ -167,7 +167,7 @@
             took_ms,
             objective_ms,
             ..
-        } => note_finished(*state, queue, *took_ms, *objective_ms),
+        } => record_finished_job(*state, queue, *took_ms, *objective_ms),
         JobNote::StartRefused { .. }
         | JobNote::TakeoverOver { .. }
         | JobNote::Unfound(_)
@@ -182,7 +182,7 @@
     }
 }
 
-fn note_finished(state: JobStage, queue: &str, took_ms: u64, objective_ms: u64) {
+fn record_finished_job(state: JobStage, queue: &str, took_ms: u64, objective_ms: u64) {
     let queue = queue.to_owned();
     counter!(JOBS, "queue" => queue.clone(), "state" => label(&state)).increment(1);
     if state != JobStage::Completed {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Shows an owner's figures.
+/// Sets the gauges of an owner's load.
 pub fn set_load_gauges(counts: &SchedulerCounts) {
     gauge!("sandshelf_jobs_open").set(counts.jobs as f64);
     gauge!("sandshelf_tasks_waiting").set(counts.waiting as f64);
@@ -212,15 +212,15 @@
     gauge!("sandshelf_filling_tasks_slowed").set(counts.slowed as f64);
 }
 
-/// Shows how many hosts offer to carry an owner's orders, how many carry some, and how many orders are under way there.
-pub fn set_relay_gauges(figures: &DispatcherStats) {
-    gauge!("sandshelf_relays_offered").set(figures.offered as f64);
-    gauge!("sandshelf_relays_in_use").set(figures.in_use as f64);
-    gauge!("sandshelf_relayed_orders_open").set(figures.open as f64);
+/// Sets the gauges of an owner's relays: the hosts that offer to relay, those in use, and the relayed orders without an answer.
+pub fn set_relay_gauges(stats: &DispatcherStats) {
+    gauge!("sandshelf_relays_offered").set(stats.offered as f64);
+    gauge!("sandshelf_relays_in_use").set(stats.in_use as f64);
+    gauge!("sandshelf_relayed_orders_open").set(stats.open as f64);
 }
 
-/// Counts what of a relay's message was passed over.
-pub fn note_relay_fault(fault: RelayFault) {
+/// Counts a relay message, or an answer in one, that was ignored.
+pub fn record_relay_fault(fault: RelayFault) {
     let kind = match fault {
         RelayFault::Unreadable => "unreadable",
         RelayFault::OtherVersion(_) => "version",
@@ -233,7 +233,8 @@
     counter!(RELAY_FAULTS, "fault" => kind).increment(1);
 }
 
-/// Shows whether this host owns the shard, how old the newest durable write is, and the configuration in force.
+/// Sets the gauges of this host: whether it owns the shard, the age of its newest durable write (0 if there is none) and the version of the
+/// configuration in force (0 if there is none).
 pub fn set_host_gauges(owns: bool, write_age: Option<Duration>, config: Option<u64>) {
     gauge!("sandshelf_shards_held").set(f64::from(u8::from(owns)));
     gauge!("sandshelf_write_age_seconds").set(write_age.map_or(0.0, |age| age.as_secs_f64()));
--- a/crates/sandshelfd/src/jobs/mod.rs
+++ b/crates/sandshelfd/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Serves job queues on the users' platform: any host takes jobs in, and one of them at a time gives orders to workers.
+//! Serves job queues on the users' platform: every host accepts jobs, and one host at a time gives orders to workers.
 
 mod accept;
 mod agent;
@@ -39,26 +39,26 @@
 use crate::jobs::halls::HallView;
 use crate::jobs::health::StoreHealth;
 use crate::jobs::owner::{run_owner, OwnerParts};
-use crate::jobs::queues::{watch_operators, QueueView};
+use crate::jobs::queues::{follow_operator_rows, QueueView};
 use crate::jobs::relays::RelayListener;
 use crate::logging::event;
 use crate::{clock, logging, meters as process_meters};
 
-/// How long a planned stop goes on serving at least: the balancer needs two missed questions, a second apart, to turn
-/// new connections elsewhere.
-const UNREADY_MS: u64 = 2_500;
-/// How long before the end of the grace the last connections are closed, in milliseconds.
+/// How long a planned stop goes on accepting connections, in milliseconds. The load balancer sends new connections elsewhere only after two
+/// failed health checks, which are one second apart.
+const UNREADY_SERVING_MS: u64 = 2_500;
+/// How long before the end of the stop's grace period open requests are no longer waited for, in milliseconds.
 const CLOSE_BEFORE_END_MS: u64 = 1_500;
-/// How often a planned stop looks whether requests are still under way.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// How often a planned stop checks for open requests.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often samples of histograms are put into their buckets: between two readings they take up memory.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+/// How often histogram samples are moved into their buckets; until then, each takes up memory.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// A text that names every fault and the way out.
+/// A text that names every fault and how to mend it.
 pub fn read_settings(path: &Path) -> Result<JobSettings, String> {
     let text = fs::read_to_string(path)
         .map_err(|error| format!("{}: can't be read: {error}", path.display()))?;
@@ -66,10 +66,10 @@
     parse_job_settings(&file).map_err(|faults| faults.to_string())
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a signal stops it.
 ///
 /// # Errors
-/// The logger, a thread, an address or an HTTP client can't be had.
+/// The logger, a thread, a listener or an HTTP client can't be created.
 pub fn run(path: PathBuf, settings: JobSettings) -> Result<(), Report<DaemonFailure>> {
     let _logger = logging::start().change_context(DaemonFailure::Logging)?;
     logging::limit_lines(settings.log_lines_per_s);
@@ -97,15 +97,15 @@
         stopping: AtomicBool::new(false),
         open_requests: Default::default(),
     });
-    let caller = quiet_rocket(settings.caller_address).mount("/", job_routes(&shared));
-    let (caller_at, caller_stop) = launch(caller).await?;
+    let caller_server = quiet_rocket(settings.caller_address).mount("/", job_routes(&shared));
+    let (caller_at, caller_stop) = launch(caller_server).await?;
     let ready = quiet_rocket(settings.ready_address).mount("/", ready_routes(&shared));
     let (ready_at, _) = launch(ready).await?;
     let metrics_at = open_metrics(settings.metrics_address).await;
     let metrics_at = metrics_at.map_or("none".to_owned(), |address| address.to_string());
     let relays = settings.relay_address.map(RelayListener::open);
     let relays_at = relays.as_ref().map(RelayListener::address);
-    let relays_told = relays_at.map_or("none".to_owned(), |address| address.to_string());
+    let relays_text = relays_at.map_or("none".to_owned(), |address| address.to_string());
     event(
         "started",
         &[
@@ -114,7 +114,7 @@
             ("caller", &caller_at),
             ("ready", &ready_at),
             ("metrics", &metrics_at),
-            ("relays", &relays_told),
+            ("relays", &relays_text),
             ("store", &settings.store_address),
         ],
     );
@@ -124,7 +124,7 @@
             &[("way", way), ("outcome", &"no task is started")],
         );
     }
-    tokio::spawn(watch_operators(
+    tokio::spawn(follow_operator_rows(
         store.clone(),
         queues.clone(),
         halls.clone(),
@@ -151,24 +151,24 @@
     event("stopping", &[("host", &host), ("cause", &"signal")]);
     shared.stopping.store(true, Ordering::Relaxed);
     let _ = stop.send(()).await;
-    sleep(Duration::from_millis(UNREADY_MS)).await;
-    let left = settings
+    sleep(Duration::from_millis(UNREADY_SERVING_MS)).await;
+    let serving_ms = settings
         .grace_ms
-        .saturating_sub(UNREADY_MS + CLOSE_BEFORE_END_MS);
-    let last = clock::now() + left;
+        .saturating_sub(UNREADY_SERVING_MS + CLOSE_BEFORE_END_MS);
+    let deadline = clock::now() + serving_ms;
     caller_stop.notify();
-    while shared.open_requests.load(Ordering::Relaxed) > 0 && clock::now() < last {
-        sleep(STOP_LOOK).await;
+    while shared.open_requests.load(Ordering::Relaxed) > 0 && clock::now() < deadline {
+        sleep(STOP_POLL_INTERVAL).await;
     }
-    sleep(STOP_LOOK).await;
-    let _ = tokio::time::timeout(clock::until(last), owner_stopped).await;
+    sleep(STOP_POLL_INTERVAL).await;
+    let _ = tokio::time::timeout(clock::until(deadline), owner_stopped).await;
     event("stopped", &[("host", &host)]);
     Ok(())
 }
 
-/// Installs the metrics, and serves them where the settings name an address; returns where that is.
+/// Installs the metrics recorder, and serves the metrics if the settings name an address; returns the bound address.
 ///
-/// Jobs are served also where metrics can't be.
+/// A failure is only logged: jobs are served also without metrics.
 async fn open_metrics(address: Option<SocketAddr>) -> Option<SocketAddr> {
     let Some(handle) = process_meters::install() else {
         event(
@@ -180,13 +180,13 @@
     let upkeep = handle.clone();
     tokio::spawn(async move {
         loop {
-            sleep(METRICS_UPKEEP).await;
+            sleep(METRICS_UPKEEP_INTERVAL).await;
             upkeep.run_upkeep();
         }
     });
     let address = address?;
-    let face = quiet_rocket(address).mount("/", metrics_routes());
-    match launch(face.manage(handle)).await {
+    let metrics_server = quiet_rocket(address).mount("/", metrics_routes());
+    match launch(metrics_server.manage(handle)).await {
         Ok((bound, _)) => Some(bound),
         Err(_) => {
             event("metrics_failed", &[("cause", &"the address can't be had")]);
@@ -195,7 +195,7 @@
     }
 }
 
-/// Starts the one thread that holds all control state.
+/// Starts the control thread, which alone has all control state.
 fn start_owner(parts: OwnerParts) -> Result<(), Report<DaemonFailure>> {
     let run = move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
@@ -212,12 +212,12 @@
     Ok(())
 }
 
-/// How often the settings file is compared with what is in force, in milliseconds.
-const SETTINGS_LOOK_MS: u64 = 1_000;
+/// How often the settings file is checked for changes, in milliseconds.
+const SETTINGS_CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Looks for changes of the settings file, at once after SIGHUP and from time to time without one.
+/// Checks the settings file for changes, at once after SIGHUP and periodically without one.
 ///
-/// Addresses and limits take effect at the next start; a file with faults leaves the old settings in force.
+/// Only the limit of log lines takes effect at once, all other settings at the next start. A file with faults changes nothing.
 async fn watch_settings(path: PathBuf, mut current: JobSettings) {
     use tokio::signal::unix::{signal, SignalKind};
     let mut hangup = match signal(SignalKind::hangup()) {
@@ -231,7 +231,7 @@
     loop {
         let asked = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(Duration::from_millis(SETTINGS_LOOK_MS)) => false,
+            () = sleep(Duration::from_millis(SETTINGS_CHECK_INTERVAL_MS)) => false,
         };
         match read_settings(&path) {
             Ok(settings) => {
--- a/crates/sandshelfd/src/jobs/notes.rs
+++ b/crates/sandshelfd/src/jobs/notes.rs
@@ -1,4 +1,4 @@
-//! Log lines of a scheduler's decisions.
+//! Logs the decisions and observations of the scheduler.
 
 use std::fmt::{Debug, Display};
 
@@ -9,29 +9,29 @@
 use crate::jobs::meters;
 use crate::logging::{event, event_always};
 
-/// Writes the variants of a closed set as they are named, in lower case.
+/// The name of an enum variant in lower case, as log values and metric labels have it.
 pub(super) fn label<T: Debug>(value: &T) -> String {
     format!("{value:?}").to_ascii_lowercase()
 }
 
-/// How many workers or tasks one line names.
-const NAMED_AT_MOST: usize = 8;
+/// The most workers or tasks that one log line lists.
+const MAX_LISTED_NAMES: usize = 8;
 
-/// The first few names of many, for a line that has to stay short.
-fn first_of<T: Display>(names: impl IntoIterator<Item = T>) -> String {
-    let named = names.into_iter().take(NAMED_AT_MOST);
-    let named: Vec<String> = named.map(|name| name.to_string()).collect();
-    named.join(",")
+/// The first names of a list, separated by commas, so that log lines stay short.
+fn join_first<T: Display>(names: impl IntoIterator<Item = T>) -> String {
+    let listed_names = names.into_iter().take(MAX_LISTED_NAMES);
+    let listed_names: Vec<String> = listed_names.map(|name| name.to_string()).collect();
+    listed_names.join(",")
 }
 
-/// A value as a line shows it that may be missing.
+/// The text of an optional value; `none` if it is missing.
 fn or_none<T: Display>(value: Option<&T>) -> String {
     value.map_or_else(|| "none".to_owned(), T::to_string)
 }
 
-/// Logs what a scheduler decided or learnt.
-pub fn log_note(note: &JobNote, carrier: Option<&HostId>, story: Option<&str>) {
-    meters::note_decision(note);
+/// Logs and counts a decision or observation of the scheduler. `carrier` is the relay of an order, `summary` the summary of a finished job.
+pub fn log_note(note: &JobNote, carrier: Option<&HostId>, summary: Option<&str>) {
+    meters::record_decision(note);
     match note {
         JobNote::Placed {
             key,
@@ -116,7 +116,7 @@
                 ("queue", queue),
                 ("took_ms", took_ms),
                 ("objective_ms", objective_ms),
-                ("steps", &story.unwrap_or_default()),
+                ("steps", &summary.unwrap_or_default()),
             ],
         ),
         JobNote::TakeoverOver {
@@ -128,7 +128,7 @@
             &[
                 ("waited_ms", waited_ms),
                 ("unanswered", &unanswered.len()),
-                ("silent_workers", &first_of(unanswered)),
+                ("silent_workers", &join_first(unanswered)),
                 ("unfound", unfound),
             ],
         ),
@@ -212,7 +212,7 @@
                 ("worker", worker),
                 ("cause", &label(cause)),
                 ("runs", runs),
-                ("newest", &first_of(newest.iter().map(|run| run.task))),
+                ("newest", &join_first(newest.iter().map(|run| run.task))),
             ],
         ),
         JobNote::WorkerQuarantined(worker) => event("worker_quarantined", &[("worker", worker)]),
@@ -248,7 +248,7 @@
     }
 }
 
-/// Logs an owner's figures: how much it has to do and how busy its workers are.
+/// Logs an owner's load: its jobs, tasks, workers and relays.
 pub fn log_load(epoch: Epoch, counts: &SchedulerCounts, relays: &DispatcherStats) {
     event(
         "owner_load",
--- a/crates/sandshelfd/src/jobs/owner.rs
+++ b/crates/sandshelfd/src/jobs/owner.rs
@@ -100,13 +100,13 @@
     queues_version: u64,
     /// The evacuated halls that the scheduler was last given.
     evacuated: BTreeSet<HallId>,
-    followers: Vec<JoinHandle<()>>,
+    feed_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Drop for OwnedShard {
     fn drop(&mut self) {
-        for follower in &self.followers {
-            follower.abort();
+        for feed_task in &self.feed_tasks {
+            feed_task.abort();
         }
     }
 }
@@ -183,8 +183,8 @@
             None
         }
     };
-    if let Some(face) = relays {
-        spawn_local(serve_relays(face, relay_events.clone()));
+    if let Some(relay_listener) = relays {
+        spawn_local(serve_relays(relay_listener, relay_events.clone()));
     }
     let mut owner = OwnerLoop {
         lease: ShardLease::new(host.clone(), times),
--- a/crates/sandshelfd/src/jobs/owner/recover.rs
+++ b/crates/sandshelfd/src/jobs/owner/recover.rs
@@ -142,7 +142,7 @@
             tenure: ShardTenure::new(self.lease.last_renewal().unwrap_or(self.claimed_at)),
             queues_version: 0,
             evacuated: BTreeSet::new(),
-            followers: vec![spawn_local(listing)],
+            feed_tasks: vec![spawn_local(listing)],
         });
         self.check_tenure(now);
         self.refresh_queues();
@@ -179,7 +179,7 @@
             ],
         );
         let follow = follow_jobs(self.store.clone(), jobs.follow_from, self.feed.clone());
-        owned.followers.push(spawn_local(follow));
+        owned.feed_tasks.push(spawn_local(follow));
         let mut events = vec![JobEvent::StateRead {
             progress,
             claim_version: jobs.newest,
--- a/crates/sandshelfd/src/jobs/owner/relaying.rs
+++ b/crates/sandshelfd/src/jobs/owner/relaying.rs
@@ -141,7 +141,7 @@
 
     fn handle_outcome(&mut self, outcome: RelayOutcome) -> Vec<JobEvent> {
         for fault in &outcome.faults {
-            meters::note_relay_fault(*fault);
+            meters::record_relay_fault(*fault);
             event("relay_answer_refused", &[("fault", fault)]);
         }
         for relay in &outcome.lost {
--- a/crates/sandshelfd/src/jobs/pages.rs
+++ b/crates/sandshelfd/src/jobs/pages.rs
@@ -1,7 +1,7 @@
 //! Reads of whole parts of tables, page by page.
 //!
-//! A page that failed is asked for again, and what has come is kept. Were everything read anew after each fault, a host that loses
-//! one page in a hundred would come to the end of 500 pages once in 150 tries (0.99 to the power of 500).
+//! A failed page is read again, and the pages before it are kept. If all pages were read again after each fault, a host that loses
+//! one page in a hundred would get all of 500 pages in one of 150 tries (0.99 to the power of 500).
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -15,58 +15,59 @@
 use crate::jobs::writer::OwnerStore;
 use crate::logging::event;
 
-/// The pause before a page is asked for again.
+/// The pause before a failed page is read again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// All rows of a range.
 #[derive(Clone, Debug)]
 pub struct PartRows {
-    /// The rows, by rising key.
+    /// The rows, in ascending order of their keys.
     pub rows: Vec<StoredValue>,
-    /// The version as of which the first page was read: later changes may be missing.
+    /// The version at which the first page was read. Later changes may be missing.
     pub first_version: u64,
-    /// The version as of which the last page was read: no row is newer.
+    /// The version at which the last page was read. No row is newer.
     pub last_version: u64,
-    /// What the store's clock showed then, in milliseconds.
+    /// The store's clock at the last page, in milliseconds.
     pub store_ms: u64,
 }
 
-/// Reads of parts that belong together, and how far they have got.
+/// Reads parts that belong together, and tracks whether the reads stall.
 #[derive(Debug)]
 pub struct PageReader {
     call: StoreCall,
     timeout: CallTimeout,
-    last_page: Cell<Millis>,
-    failed: Cell<bool>,
+    last_page_at: Cell<Millis>,
+    page_failed: Cell<bool>,
 }
 
 impl PageReader {
-    /// Starts now.
+    /// Creates a reader; the current time counts as the arrival of its last page.
     pub fn new(call: StoreCall, timeout: CallTimeout) -> Self {
         Self {
             call,
             timeout,
-            last_page: Cell::new(clock::now()),
-            failed: Cell::new(false),
+            last_page_at: Cell::new(clock::now()),
+            page_failed: Cell::new(false),
         }
     }
 
-    /// How long ago the newest page came where one has failed since, in milliseconds; a page that is still coming has not failed.
+    /// How long ago the newest page arrived, in milliseconds, if a page has failed since; otherwise 0. A page that is still arriving has not
+    /// failed.
     pub fn stalled_ms(&self, now: Millis) -> Millis {
-        match self.failed.get() {
-            true => now.saturating_sub(self.last_page.get()),
+        match self.page_failed.get() {
+            true => now.saturating_sub(self.last_page_at.get()),
             false => 0,
         }
     }
 
     fn note<T>(&self, page: &Result<T, StoreFault>) {
-        self.failed.set(page.is_err());
+        self.page_failed.set(page.is_err());
         if page.is_ok() {
-            self.last_page.set(clock::now());
+            self.last_page_at.set(clock::now());
         }
     }
 
-    /// Reads all rows of a range, for as long as that takes.
+    /// Reads all rows of a range. Failed pages are read again until they succeed.
     pub async fn read_part(&self, store: &OwnerStore, range: &RowRange) -> PartRows {
         let first = self.read_page(store, range).await;
         let mut next = first.next_range(range);
--- a/crates/sandshelfd/src/jobs/queues.rs
+++ b/crates/sandshelfd/src/jobs/queues.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest configuration of queues at hand.
+//! Follows the configuration of queues and keeps its newest version.
 
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
@@ -16,36 +16,38 @@
 use crate::jobs::meters::StoreCall;
 use crate::logging::event;
 
-/// How long a question for changes waits for one; a connection that has fallen silent is noticed soon after.
-const WATCH_WAIT_MS: Millis = 900;
-/// How long the store may send nothing beside that, where calls go well. Not a limit on the whole answer: over 10 Mbit/s a
-/// configuration of 3,000 queues takes 0.7 s, and with 0.5 s for the whole it never came.
-const PATIENCE_MS: Millis = 500;
-/// How often that is doubled while calls fail: where other answers fill the link for seconds, one that is asked for again every
-/// 0.65 s never gets its turn.
-const MOST_DOUBLINGS: u32 = 2;
-/// The pause after a call that failed.
+/// How long a call that waits for changes may wait at the store, in milliseconds. A silent connection is noticed soon after.
+const CHANGES_WAIT_MS: Millis = 900;
+/// The idle timeout in addition to that wait, in milliseconds, while calls succeed. It doesn't limit the whole answer: over 10 Mbit/s a
+/// configuration of 3,000 queues takes 0.7 s, so with 0.5 s for the whole answer it never arrived.
+const IDLE_TIMEOUT_MS: Millis = 500;
+/// How many times the idle timeout is doubled at most while calls fail. If other answers fill the link for seconds, one that is requested
+/// again every 0.65 s never gets through.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
+/// The pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// The newest configuration; never changed, only replaced.
+/// The newest configuration. It is never modified, only replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct QueueView {
     table: Arc<RwLock<Option<Arc<QueueTable>>>>,
 }
 
 impl QueueView {
-    /// The configuration in force; none before the first.
+    /// The configuration in force; none until the first was read.
     pub fn get(&self) -> Option<Arc<QueueTable>> {
         let table = self.table.read();
-        table.unwrap_or_else(|broken| broken.into_inner()).clone()
+        table
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
-    /// Puts a configuration in force unless a newer one is.
-    fn offer(&self, table: QueueTable) {
+    /// Puts a configuration in force unless the current one is as new or newer.
+    fn replace_if_newer(&self, table: QueueTable) {
         let mut current = self
             .table
             .write()
-            .unwrap_or_else(|broken| broken.into_inner());
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         if current
             .as_ref()
             .is_some_and(|known| known.version >= table.version)
@@ -61,7 +63,7 @@
     }
 }
 
-/// Calls about the configuration, with more patience after each that failed.
+/// Store calls that read the configuration, with a longer timeout after each failed one.
 struct ConfigCalls {
     store: StoreClient,
     view: QueueView,
@@ -70,8 +72,8 @@
     failures: u32,
 }
 
-/// Reads what operators write, the configuration and which halls are evacuated, and follows its changes, for ever.
-pub async fn watch_operators(
+/// Reads the rows that operators write, the configuration and the evacuated halls, and follows their changes without end.
+pub async fn follow_operator_rows(
     store: StoreClient,
     view: QueueView,
     halls: HallView,
@@ -84,7 +86,7 @@
         health,
         failures: 0,
     };
-    // What was read before a call that failed is not read again: all that is new comes after it.
+    // After a failed call, earlier rows are not read again: all changes come after the known version.
     let mut after = None;
     loop {
         let known = match after {
@@ -105,20 +107,20 @@
 }
 
 impl ConfigCalls {
-    fn patience(&self) -> CallTimeout {
-        let doublings = self.failures.min(MOST_DOUBLINGS);
-        CallTimeout::Idle(Duration::from_millis(PATIENCE_MS << doublings))
+    fn timeout(&self) -> CallTimeout {
+        let doublings = self.failures.min(MAX_TIMEOUT_DOUBLINGS);
+        CallTimeout::Idle(Duration::from_millis(IDLE_TIMEOUT_MS << doublings))
     }
 
-    /// Waits for changes; returns how far they are known then, or nothing where they are forgotten.
+    /// Waits for changes. Returns the version up to which they are known, or none if the store no longer has the changes since `after`.
     async fn follow(&self, after: u64) -> Result<Option<u64>, StoreFault> {
-        let patience = self.patience();
+        let timeout = self.timeout();
         let follow = self
             .store
-            .follow(CONFIG_TABLE, after, WATCH_WAIT_MS, patience);
+            .follow(CONFIG_TABLE, after, CHANGES_WAIT_MS, timeout);
         match self.health.watch(StoreCall::Follow, follow).await? {
             FeedPage::Changes(rows, version) => {
-                take_rows(&self.view, &rows);
+                apply_config_rows(&self.view, &rows);
                 self.halls.apply_changes(&rows, version);
                 Ok(Some(after.max(version)))
             }
@@ -129,10 +131,11 @@
         }
     }
 
-    /// Reads the halls first, so that they are known to whoever knows a configuration; returns from where changes are to be followed.
+    /// Reads the configuration and the evacuated halls; the halls first, so that they are known wherever a configuration is. Returns the
+    /// version from which changes are to be followed.
     async fn read(&self) -> Result<u64, StoreFault> {
         let range = evacuation_range();
-        let read = self.store.read(&range, self.patience());
+        let read = self.store.read(&range, self.timeout());
         let halls = self.health.watch(StoreCall::ReadConfig, read).await?;
         self.halls.replace_all(&halls.rows, halls.version);
         let range = RowRange {
@@ -141,21 +144,21 @@
             from: CONFIG_KEY.to_owned(),
             to: Some(format!("{CONFIG_KEY}\u{0}")),
         };
-        let read = self.store.read(&range, self.patience());
+        let read = self.store.read(&range, self.timeout());
         let page = self.health.watch(StoreCall::ReadConfig, read).await?;
-        take_rows(&self.view, &page.rows);
+        apply_config_rows(&self.view, &page.rows);
         Ok(halls.version)
     }
 }
 
-fn take_rows(view: &QueueView, rows: &[StoredValue]) {
+fn apply_config_rows(view: &QueueView, rows: &[StoredValue]) {
     for row in rows.iter().filter(|row| row.key == CONFIG_KEY) {
         let Some(value) = &row.value else {
             event("config_refused", &[("fault", &"the row was removed")]);
             continue;
         };
         match decode_queues(value) {
-            Ok(table) => view.offer(table),
+            Ok(table) => view.replace_if_newer(table),
             Err(fault) => event("config_refused", &[("fault", &fault)]),
         }
     }
--- a/crates/sandshelfd/src/jobs/records.rs
+++ b/crates/sandshelfd/src/jobs/records.rs
@@ -1,4 +1,4 @@
-//! The rows that the daemon keeps in the store.
+//! The tables, keys and ranges of the rows that the daemon keeps in the store.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,40 @@
 use sandshelf_jobs::JobNumber;
 use serde::{Deserialize, Serialize};
 
-/// Jobs as handed in, and the marks of cancelled ones.
+/// The table of submitted jobs and cancellations.
 pub const JOBS_TABLE: &str = "jobs";
-/// What is durable of each job's progress.
+/// The table of each job's durable progress.
 pub const PROGRESS_TABLE: &str = "progress";
-/// Who owns a shard, and what its owner publishes.
+/// The table of the owner row and the rows that the owner publishes.
 pub const SHARDS_TABLE: &str = "shards";
-/// The one shard that serves all queues; the rows that its owner writes share a part, as all rows of a transaction have to.
+/// The part of the one shard that serves all queues. The rows that its owner writes share this part, as all rows of a transaction must.
 pub const SHARD_PART: &str = "s0";
-/// Into how many parts the jobs are spread: a part takes its writes in turn, and a store that is sixty times slower than
-/// usual takes three a second in each, where the grown deployments hand in 35 jobs a second.
+/// The number of parts of the jobs table. A part handles its writes one after another. A store that is sixty times slower than usual handles
+/// three a second in each part, while large deployments submit 35 jobs a second.
 const JOB_PARTS: u64 = 32;
-/// The key of the row that says who owns the shard.
+/// The key of the owner row, which says who owns the shard.
 pub const OWNER_KEY: &str = "owner";
-/// The key of the numbers of waiting jobs.
+/// The key of the counts of waiting jobs.
 pub const PENDING_KEY: &str = "pending";
-/// The key of the workers that may hold tasks.
+/// The key of the roster: the workers that may have leased tasks.
 pub const ROSTER_KEY: &str = "roster";
-/// The key of the marks of silent workers.
+/// The key of the silence records of workers.
 pub const SILENT_KEY: &str = "silent";
-/// The key of what is learnt of images.
+/// The key of the learned interference between images.
 pub const INTERFERENCE_KEY: &str = "strengths";
-/// What follows a job's number in the key of its cancellation mark.
+/// The suffix to a job's number in the key of its cancellation row.
 pub const CANCEL_SUFFIX: &str = ".cancel";
-/// Sorts behind every key that begins with a job's number.
+/// A job's number with this suffix sorts after all keys of that job.
 const AFTER_SUFFIXES: &str = "/";
 
-/// The numbers of waiting jobs by queue, as published.
+/// The published counts of waiting jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingRow {
-    /// By queue; a queue that is not named has none.
+    /// The count by queue; a queue without an entry has no waiting jobs.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// A row of the shard.
+/// The key of a row of the shard.
 pub fn shard_row(table: &'static str, key: &str) -> RowKey {
     RowKey {
         table,
@@ -48,12 +48,12 @@
     }
 }
 
-/// The part that a job's row and its cancellation mark are in.
+/// The part of a job's row and its cancellation row.
 fn job_part(number: JobNumber) -> String {
     format!("j{}", number.0 % JOB_PARTS)
 }
 
-/// The row of a job.
+/// The key of a job's row.
 pub fn job_row(number: JobNumber) -> RowKey {
     RowKey {
         table: JOBS_TABLE,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The row that marks a job as cancelled.
+/// The key of a job's cancellation row.
 pub fn cancel_row(number: JobNumber) -> RowKey {
     RowKey {
         key: format!("{number}{CANCEL_SUFFIX}"),
@@ -70,7 +70,7 @@
     }
 }
 
-/// All jobs and cancellation marks, part by part.
+/// The ranges of all jobs and cancellations, one for each part.
 pub fn job_ranges() -> impl Iterator<Item = RowRange> {
     (0..JOB_PARTS).map(|part| RowRange {
         table: JOBS_TABLE,
@@ -80,12 +80,12 @@
     })
 }
 
-/// The row of a job's progress.
+/// The key of a job's progress row.
 pub fn progress_row(number: JobNumber) -> RowKey {
     shard_row(PROGRESS_TABLE, &number.to_string())
 }
 
-/// One row as a range.
+/// The range of a single row.
 pub fn row_range(row: &RowKey) -> RowRange {
     RowRange {
         table: row.table,
@@ -95,7 +95,7 @@
     }
 }
 
-/// A job's row and its cancellation mark.
+/// The range of a job's row and its cancellation row.
 pub fn job_range(number: JobNumber) -> RowRange {
     let row = job_row(number);
     RowRange {
@@ -106,7 +106,7 @@
     }
 }
 
-/// All rows of the shard in a table.
+/// The range of all rows of the shard in a table.
 pub fn shard_range(table: &'static str) -> RowRange {
     RowRange {
         table,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Encodes a row's value.
+/// Encodes the value of a row as JSON.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).expect("plain structures always encode")
 }
