--- a/crates/sandshelfd/src/jobs/accept.rs
+++ b/crates/sandshelfd/src/jobs/accept.rs
@@ -162,7 +162,7 @@
             removes: Vec::new(),
         };
         let written = self.store.write(&write, self.timeout);
-        self.health.watch(StoreCall::WriteJob, written).await
+        self.health.observe(StoreCall::WriteJob, written).await
     }
 
     fn refuse(&self, number: JobNumber, status: Status, reason: &str) -> JobAnswer {
@@ -228,7 +228,7 @@
         range: &sandshelf_adapter::RowRange,
     ) -> Result<Vec<StoredValue>, StoreFault> {
         let read = self.store.read(range, self.timeout);
-        Ok(self.health.watch(StoreCall::ReadJob, read).await?.rows)
+        Ok(self.health.observe(StoreCall::ReadJob, read).await?.rows)
     }
 
     /// Marks a job as cancelled; the owner of the shard then stops its running tasks.
--- a/crates/sandshelfd/src/jobs/health.rs
+++ b/crates/sandshelfd/src/jobs/health.rs
@@ -32,7 +32,7 @@
 
 impl StoreHealth {
     /// Awaits a store call, and records its result and duration.
-    pub async fn watch<T>(
+    pub async fn observe<T>(
         &self,
         kind: StoreCall,
         call: impl Future<Output = Result<StoreAnswer<T>, StoreFault>>,
--- a/crates/sandshelfd/src/jobs/intake.rs
+++ b/crates/sandshelfd/src/jobs/intake.rs
@@ -38,7 +38,7 @@
         let follow = store
             .client
             .follow(JOBS_TABLE, after, JOBS_WAIT_MS, IDLE_TIMEOUT);
-        let page = store.health.watch(StoreCall::Follow, follow).await;
+        let page = store.health.observe(StoreCall::Follow, follow).await;
         let events = match page {
             Ok(FeedPage::Changes(rows, version)) => {
                 after = after.max(version);
--- a/crates/sandshelfd/src/jobs/owner.rs
+++ b/crates/sandshelfd/src/jobs/owner.rs
@@ -54,7 +54,7 @@
 
 /// The most events handled in one batch before ticks and job changes are handled.
 const MAX_EVENT_BATCH: usize = 256;
-/// How often an owner logs and publishes its load.
+/// How often a host publishes its metrics, and an owner also logs and publishes the load of the shard.
 const LOAD_INTERVAL_MS: Millis = 1_000;
 
 /// Everything that the control thread is started with.
@@ -127,7 +127,7 @@
     published: Option<(Epoch, PublishedState)>,
     /// The durable state of jobs, if it was read before that wait ended.
     recorded: Option<(Epoch, RecordedState)>,
-    /// Hosts that offered to relay orders before this host's takeover got to using relays.
+    /// The hosts that have offered to relay orders since this host's claim, until the relay pool is created from them.
     offers: RelayOffers,
     /// The owner that this host relays orders for; none while there is none.
     served_owner: watch::Sender<Option<OwnerEndpoint>>,
--- a/crates/sandshelfd/src/jobs/owner/claim.rs
+++ b/crates/sandshelfd/src/jobs/owner/claim.rs
@@ -21,7 +21,7 @@
 const FIRST_CLAIM_FACTOR: u32 = 5;
 
 impl OwnerLoop {
-    /// This host's rank among the hosts that would claim the shard; the lowest rank claims first.
+    /// This host's rank for claiming the shard; the host with the lowest rank claims first.
     fn claim_rank(&self) -> u32 {
         let owned_before = self.lease.row().is_some_and(|seen| seen.row.epoch > 0);
         if owned_before {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether the shard's owner is an earlier incarnation of this host, which has certainly ended, so that its lease needn't be waited
-    /// out. A weak host doesn't make use of this.
+    /// Whether this host watches a shard whose owner is an earlier incarnation of itself. That has certainly ended, so its lease needn't
+    /// be waited out. Always false on a weak host, which should not take the shard before the others.
     fn owner_is_earlier_incarnation(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
--- a/crates/sandshelfd/src/jobs/owner/recover.rs
+++ b/crates/sandshelfd/src/jobs/owner/recover.rs
@@ -43,7 +43,8 @@
 }
 
 impl OwnerLoop {
-    /// Reads first what is needed to renew the workers' leases, then the jobs, which may take seconds over a slow link.
+    /// Starts the read of the shard's state: first what is needed to renew the workers' leases, then the jobs, which may take seconds over a
+    /// slow link.
     pub(super) fn read_takeover(&mut self) {
         let epoch = self.lease.row().map_or(0, |row| row.row.epoch);
         let store = self.store.clone();
@@ -85,7 +86,8 @@
     /// With the renewals after the read, a host with an eighth of a core and 10 Mbit/s reached 490 workers only 4 s after their
     /// owner had died, when their leases had expired.
     ///
-    /// Waits for relays first where they are needed; [`OwnerLoop::tick_relays`] calls it again meanwhile.
+    /// If more relays are needed, it first keeps the state: [`OwnerLoop::tick_relays`] calls it again until enough relays have connected or
+    /// the wait for them is over.
     pub(super) fn apply_published(&mut self, epoch: u64, published: PublishedState) {
         if *self.lease.stage() != LeaseStage::Recovering || !self.is_epoch(epoch) {
             return;
--- a/crates/sandshelfd/src/jobs/owner/strength.rs
+++ b/crates/sandshelfd/src/jobs/owner/strength.rs
@@ -7,7 +7,7 @@
 const STRONG_PROCESSOR_MILLIS: u64 = 400;
 /// The processor capacity below which a host is weak, in thousandths of a core: an owner of 66 workers uses up to 100 at times.
 const WEAK_PROCESSOR_MILLIS: u64 = 200;
-/// The link speed below which a host is weak, in kbit/s: an owner of 490 workers reads some 4 Mbit.
+/// The link speed below which a host is weak, in kbit/s: an owner of 490 workers reads some 4 Mbit/s.
 const WEAK_LINK_KBIT_PER_S: u64 = 20_000;
 
 /// How well a host is suited to own the shard.
--- a/crates/sandshelfd/src/jobs/pages.rs
+++ b/crates/sandshelfd/src/jobs/pages.rs
@@ -90,7 +90,7 @@
     async fn read_page(&self, store: &OwnerStore, range: &RowRange) -> RowPage {
         loop {
             let read = store.client.read(range, self.timeout);
-            let page = store.health.watch(self.call, read).await;
+            let page = store.health.observe(self.call, read).await;
             self.note(&page);
             match page {
                 Ok(page) => return page,
--- a/crates/sandshelfd/src/jobs/queues.rs
+++ b/crates/sandshelfd/src/jobs/queues.rs
@@ -118,7 +118,7 @@
         let follow = self
             .store
             .follow(CONFIG_TABLE, after, CHANGES_WAIT_MS, timeout);
-        match self.health.watch(StoreCall::Follow, follow).await? {
+        match self.health.observe(StoreCall::Follow, follow).await? {
             FeedPage::Changes(rows, version) => {
                 apply_config_rows(&self.view, &rows);
                 self.halls.apply_changes(&rows, version);
@@ -136,7 +136,7 @@
     async fn read(&self) -> Result<u64, StoreFault> {
         let range = evacuation_range();
         let read = self.store.read(&range, self.timeout());
-        let halls = self.health.watch(StoreCall::ReadConfig, read).await?;
+        let halls = self.health.observe(StoreCall::ReadConfig, read).await?;
         self.halls.replace_all(&halls.rows, halls.version);
         let range = RowRange {
             table: CONFIG_TABLE,
@@ -145,7 +145,7 @@
             to: Some(format!("{CONFIG_KEY}\u{0}")),
         };
         let read = self.store.read(&range, self.timeout());
-        let page = self.health.watch(StoreCall::ReadConfig, read).await?;
+        let page = self.health.observe(StoreCall::ReadConfig, read).await?;
         apply_config_rows(&self.view, &page.rows);
         Ok(halls.version)
     }
--- a/crates/sandshelfd/src/jobs/writer.rs
+++ b/crates/sandshelfd/src/jobs/writer.rs
@@ -76,7 +76,7 @@
     pub async fn read_owner(&self) -> Result<StoredRow, StoreFault> {
         let range = row_range(&shard_row(SHARDS_TABLE, OWNER_KEY));
         let read = self.client.read(&range, READ_TIMEOUT);
-        let page = self.health.watch(StoreCall::ReadOwner, read).await?;
+        let page = self.health.observe(StoreCall::ReadOwner, read).await?;
         Ok(decode_owner(&page.rows))
     }
 
@@ -86,7 +86,7 @@
         let removals = forget.drain(..).map(|number| async move {
             let removal = job_removal(&number);
             let write = self.client.write(&removal, WRITE_TIMEOUT);
-            let removed = self.health.watch(StoreCall::Commit, write).await;
+            let removed = self.health.observe(StoreCall::Commit, write).await;
             if let Err(fault) = &removed {
                 event("forget_failed", &[("job", &number), ("fault", fault)]);
             }
@@ -103,7 +103,7 @@
         let sent = clock::now();
         loop {
             let attempt = self.client.write(&request, WRITE_TIMEOUT);
-            let outcome = self.health.watch(StoreCall::Commit, attempt).await;
+            let outcome = self.health.observe(StoreCall::Commit, attempt).await;
             let current = match outcome {
                 Ok(WriteOutcome::Done(version)) => return committed(write, sent, version),
                 Ok(WriteOutcome::Conflict(rows)) => decode_owner(&rows),
