--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -22,9 +22,9 @@
 
 // The durations of the daemon: `jobs/owner.rs`, `jobs/owner/claim.rs`, `jobs/owner/strength.rs` and `jobs/writer.rs`.
 const SHARD_LEASE_MS: Millis = 1_200;
-const STAGGER_MS: Millis = 60;
-const WATCH_EVERY_MS: Millis = 400;
-const FIRST_CLAIM_FACTOR: u32 = 5;
+const CLAIM_STAGGER_MS: Millis = 60;
+const WATCH_INTERVAL_MS: Millis = 400;
+const FIRST_CLAIM_RANK_FACTOR: u32 = 5;
 const KEEP_FINISHED_MS: Millis = 130_000;
 
 /// The time of day at the start of a play, in milliseconds since 1970.
@@ -78,7 +78,7 @@
     ) -> Self {
         let id = HostId::from(format!("{name}.{life:016x}"));
         let times = LeaseTimes {
-            stagger_ms: STAGGER_MS,
+            stagger_ms: CLAIM_STAGGER_MS,
             ..LeaseTimes::derive(SHARD_LEASE_MS, max_lease_ms, Millis::MAX / 4)
         };
         let strength = HostStrength::of(model);
@@ -134,7 +134,12 @@
 
     fn claim_rank(&self) -> u32 {
         let owned_before = self.lease.row().is_some_and(|seen| seen.row.epoch > 0);
-        self.rank * if owned_before { 1 } else { FIRST_CLAIM_FACTOR }
+        self.rank
+            * if owned_before {
+                1
+            } else {
+                FIRST_CLAIM_RANK_FACTOR
+            }
     }
 }
 
@@ -297,7 +302,7 @@
     pub(super) fn take_row(&mut self, at: Micros, reply: Option<StoreReply>) {
         let now = at / MS;
         self.control.reading = false;
-        self.control.next_read = now + WATCH_EVERY_MS;
+        self.control.next_read = now + WATCH_INTERVAL_MS;
         match reply {
             Some(StoreReply::Owner(row)) => {
                 self.control.lease.note_read(now, row);
--- a/crates/emulator/src/host/model.rs
+++ b/crates/emulator/src/host/model.rs
@@ -5,8 +5,8 @@
 use sandshelf_model::Millis;
 
 // As in the daemon's `jobs/owner/strength.rs`.
-const STRONG_PROCESSOR_MILLIS: u64 = 400;
-const WEAK_PROCESSOR_MILLIS: u64 = 200;
+const STRONG_PROCESSOR_MILLICORES: u64 = 400;
+const WEAK_PROCESSOR_MILLICORES: u64 = 200;
 const WEAK_LINK_KBIT_PER_S: u64 = 20_000;
 
 /// How long a transfer may take.
@@ -63,8 +63,8 @@
     pub fn of(model: &HostModel) -> Self {
         let thin = model.link_kbit_per_s < WEAK_LINK_KBIT_PER_S;
         match model.processor_millis {
-            millis if thin || millis < WEAK_PROCESSOR_MILLIS => HostStrength::Weak,
-            millis if millis >= STRONG_PROCESSOR_MILLIS => HostStrength::Strong,
+            millis if thin || millis < WEAK_PROCESSOR_MILLICORES => HostStrength::Weak,
+            millis if millis >= STRONG_PROCESSOR_MILLICORES => HostStrength::Strong,
             _ => HostStrength::Middling,
         }
     }
--- a/crates/emulator/tests/daemon.rs
+++ b/crates/emulator/tests/daemon.rs
@@ -36,11 +36,11 @@
 
 sandshelf_cases::cases! {
     shard_lease => same("SHARD_LEASE_MS");
-    stagger => same("STAGGER_MS");
-    watch_period => same("WATCH_EVERY_MS");
-    first_claim => same("FIRST_CLAIM_FACTOR");
-    strong_processor => same("STRONG_PROCESSOR_MILLIS");
-    weak_processor => same("WEAK_PROCESSOR_MILLIS");
+    stagger => same("CLAIM_STAGGER_MS");
+    watch_period => same("WATCH_INTERVAL_MS");
+    first_claim => same("FIRST_CLAIM_RANK_FACTOR");
+    strong_processor => same("STRONG_PROCESSOR_MILLICORES");
+    weak_processor => same("WEAK_PROCESSOR_MILLICORES");
     weak_link => same("WEAK_LINK_KBIT_PER_S");
     parts_at_once => same("PARTS_AT_ONCE");
     jobs_wait => same("JOBS_WAIT_MS");
--- a/crates/sandshelfd/src/jobs/owner.rs
+++ b/crates/sandshelfd/src/jobs/owner.rs
@@ -44,7 +44,7 @@
 /// The interval at which the control thread runs without any event.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// How much longer each further rank waits before it claims the shard.
-const STAGGER_MS: Millis = 60;
+const CLAIM_STAGGER_MS: Millis = 60;
 /// How long to wait for a worker's answer.
 const WORKER_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -162,7 +162,7 @@
     let (messages, mut inbox) = mpsc::unbounded_channel();
     let (feed, mut feed_inbox) = mpsc::unbounded_channel();
     let times = LeaseTimes {
-        stagger_ms: STAGGER_MS,
+        stagger_ms: CLAIM_STAGGER_MS,
         ..LeaseTimes::derive(SHARD_LEASE_MS, settings.max_lease_ms, Millis::MAX / 4)
     };
     let rank = HostStrength::of(&settings).draw_rank();
--- a/crates/sandshelfd/src/jobs/owner/claim.rs
+++ b/crates/sandshelfd/src/jobs/owner/claim.rs
@@ -14,11 +14,11 @@
 use crate::logging::event;
 
 /// The pause between a read of the owner row and the next, on a host that is not the owner.
-const WATCH_EVERY_MS: Millis = 400;
+const WATCH_INTERVAL_MS: Millis = 400;
 
 /// The factor by which ranks are multiplied for the very first claim of the shard. Hosts start within 0.3 s of each other, some of
 /// them slowly, and nothing depends on an owner yet.
-const FIRST_CLAIM_FACTOR: u32 = 5;
+const FIRST_CLAIM_RANK_FACTOR: u32 = 5;
 
 impl OwnerLoop {
     /// This host's rank for claiming the shard; the host with the lowest rank claims first.
@@ -27,12 +27,12 @@
         if owned_before {
             self.rank
         } else {
-            self.rank * FIRST_CLAIM_FACTOR
+            self.rank * FIRST_CLAIM_RANK_FACTOR
         }
     }
 
     /// Whether this host watches a shard whose owner is an earlier incarnation of itself. That has certainly ended, so its lease needn't
-    /// be waited out. Always false on a weak host, which should not take the shard before the others.
+    /// be waited out. Always false on a weak host.
     fn owner_is_earlier_incarnation(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
@@ -67,7 +67,7 @@
     pub(super) fn handle_owner_row(&mut self, read: Result<StoredRow, StoreFault>) {
         let now = clock::now();
         self.read_started_at = None;
-        self.next_read_at = now + WATCH_EVERY_MS;
+        self.next_read_at = now + WATCH_INTERVAL_MS;
         match read {
             Ok(row) => {
                 self.lease.note_read(now, row);
--- a/crates/sandshelfd/src/jobs/owner/strength.rs
+++ b/crates/sandshelfd/src/jobs/owner/strength.rs
@@ -4,9 +4,9 @@
 use sandshelf_config::JobSettings;
 
 /// The processor capacity from which a host is strong, in thousandths of a core: an owner of 490 workers uses 300.
-const STRONG_PROCESSOR_MILLIS: u64 = 400;
+const STRONG_PROCESSOR_MILLICORES: u64 = 400;
 /// The processor capacity below which a host is weak, in thousandths of a core: an owner of 66 workers uses up to 100 at times.
-const WEAK_PROCESSOR_MILLIS: u64 = 200;
+const WEAK_PROCESSOR_MILLICORES: u64 = 200;
 /// The link speed below which a host is weak, in kbit/s: an owner of 490 workers reads some 4 Mbit/s.
 const WEAK_LINK_KBIT_PER_S: u64 = 20_000;
 
@@ -23,8 +23,8 @@
     pub(super) fn of(settings: &JobSettings) -> Self {
         let slow_link = settings.link_kbit_per_s < WEAK_LINK_KBIT_PER_S;
         match settings.processor_millicores {
-            millicores if slow_link || millicores < WEAK_PROCESSOR_MILLIS => HostStrength::Weak,
-            millicores if millicores >= STRONG_PROCESSOR_MILLIS => HostStrength::Strong,
+            millicores if slow_link || millicores < WEAK_PROCESSOR_MILLICORES => HostStrength::Weak,
+            millicores if millicores >= STRONG_PROCESSOR_MILLICORES => HostStrength::Strong,
             _ => HostStrength::Medium,
         }
     }
