--- a/crates/sandshelfd/src/jobs/accept.rs
+++ b/crates/sandshelfd/src/jobs/accept.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Where a call about a job goes.
+/// Handles the calls of one request about jobs.
 pub struct JobService<'a> {
     /// The client of the store.
     pub store: &'a StoreClient,
@@ -99,7 +99,7 @@
 }
 
 impl JobService<'_> {
-    /// Accepts a job: it is accepted once its row is durable.
+    /// Accepts a job, and answers once its row is durable. A job that exists already gets the same answer.
     pub async fn submit(&self, queue: &QueueEntry, number: JobNumber, body: &[u8]) -> JobAnswer {
         let mut spec = match decode_submission(queue, body) {
             Ok(spec) => spec,
