--- a/crates/sandshelfd/src/jobs/mod.rs
+++ b/crates/sandshelfd/src/jobs/mod.rs
@@ -152,10 +152,10 @@
     shared.stopping.store(true, Ordering::Relaxed);
     let _ = stop.send(()).await;
     sleep(Duration::from_millis(UNREADY_SERVING_MS)).await;
-    let serving_ms = settings
+    let remaining_ms = settings
         .grace_ms
         .saturating_sub(UNREADY_SERVING_MS + CLOSE_BEFORE_END_MS);
-    let deadline = clock::now() + serving_ms;
+    let deadline = clock::now() + remaining_ms;
     caller_stop.notify();
     while shared.open_requests.load(Ordering::Relaxed) > 0 && clock::now() < deadline {
         sleep(STOP_POLL_INTERVAL).await;
