--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A new owner and what an earlier one left at work.
+//! A new owner and the runs that an earlier owner left behind.
 
 mod support;
 
@@ -6,9 +6,9 @@
     JobNumber, JobStage, ProgressRow, RunKey, RunOutcome, TakeoverInfo, WorkerRoster,
 };
 use sandshelf_model::WorkerId;
-use support::{ended, job, listing, runs, step, task, SchedulerRig};
+use support::{end_report, job, listing, run_report, step, task, SchedulerRig};
 
-/// An owner of epoch 2, which finds two workers in the roster.
+/// An owner of epoch 2 that finds two workers in the roster.
 fn successor() -> SchedulerRig {
     let roster = ["w-1", "w-2"].map(|name| (WorkerId::from(name), listing(name).address));
     let mut rig = SchedulerRig::new(TakeoverInfo {
@@ -35,49 +35,53 @@
     }
 }
 
-/// A failed run on one worker says nothing of the next run, which another worker may hold.
+/// A failed run on one worker says nothing about the next run, which another worker may have.
 fn an_old_failure_does_not_free_a_task() {
     let mut rig = successor();
-    rig.report("w-1", vec![], vec![ended(1, key(11), RunOutcome::Failed)]);
+    rig.report(
+        "w-1",
+        vec![],
+        vec![end_report(1, key(11), RunOutcome::Failed)],
+    );
     assert!(
         rig.peek_starts().is_empty(),
         "the other worker has not answered"
     );
-    rig.report("w-2", vec![runs(key(12))], vec![]);
-    rig.pass(100);
+    rig.report("w-2", vec![run_report(key(12))], vec![]);
+    rig.advance(100);
     assert!(
         rig.peek_starts().is_empty(),
         "the task runs on the other worker"
     );
 }
 
-fn a_task_found_nowhere_starts_once_all_have_answered() {
+fn a_task_that_nobody_reports_starts_once_all_have_answered() {
     let mut rig = successor();
     rig.report("w-1", vec![], vec![]);
-    rig.pass(100);
+    rig.advance(100);
     assert!(rig.peek_starts().is_empty());
     rig.report("w-2", vec![], vec![]);
-    rig.pass(50);
+    rig.advance(50);
     assert_eq!(rig.take_starts().len(), 1);
 }
 
-/// A worker that never answers holds the task up only until its lease must have run out.
+/// A worker that never answers holds the task back only until its lease must have expired.
 fn a_silent_worker_is_waited_for_until_its_lease_is_over() {
     let mut rig = successor();
     rig.report("w-1", vec![], vec![]);
     for _ in 0..60 {
-        rig.pass(100);
+        rig.advance(100);
         rig.report("w-1", vec![], vec![]);
-        rig.hold_fails("w-2");
+        rig.fail_renewal("w-2");
     }
     assert!(
         rig.peek_starts().is_empty(),
         "6 s have passed, the longest lease"
     );
     for _ in 0..20 {
-        rig.pass(100);
+        rig.advance(100);
         rig.report("w-1", vec![], vec![]);
-        rig.hold_fails("w-2");
+        rig.fail_renewal("w-2");
     }
     assert_eq!(rig.take_starts().len(), 1);
 }
@@ -104,9 +108,13 @@
         task: task(8, 1, 0),
         run: 12,
     };
-    rig.report("w-1", vec![], vec![ended(1, second, RunOutcome::Failed)]);
-    rig.report("w-2", vec![], vec![ended(1, first, RunOutcome::Done)]);
-    rig.pass(50);
+    rig.report(
+        "w-1",
+        vec![],
+        vec![end_report(1, second, RunOutcome::Failed)],
+    );
+    rig.report("w-2", vec![], vec![end_report(1, first, RunOutcome::Done)]);
+    rig.advance(50);
     let starts: Vec<_> = rig
         .take_starts()
         .iter()
@@ -119,51 +127,60 @@
     assert!(!starts.contains(&first.task));
 }
 
-/// Where the store is slow an earlier owner learns late that it was followed: it may start jobs newer than the claim.
+/// If the store is slow, an earlier owner learns late that it was superseded: it may start jobs
+/// that are newer than the claim.
 fn a_job_newer_than_the_claim_waits_for_the_workers() {
     let mut rig = successor();
     rig.hand_in(9, 200, job(vec![step(1)]));
-    rig.pass(100);
+    rig.advance(100);
     assert!(rig.peek_starts().is_empty(), "no worker has answered yet");
-    let theirs = RunKey {
+    let other_run = RunKey {
         task: task(9, 0, 0),
         run: 12,
     };
     rig.report("w-2", vec![], vec![]);
-    rig.pass(100);
-    rig.report("w-1", vec![runs(theirs)], vec![]);
-    rig.pass(100);
+    rig.advance(100);
+    rig.report("w-1", vec![run_report(other_run)], vec![]);
+    rig.advance(100);
     let started = rig.peek_starts();
     assert!(started
         .iter()
-        .all(|(_, start)| start.key.task != theirs.task));
+        .all(|(_, start)| start.key.task != other_run.task));
 }
 
-/// A dead worker must not hold up jobs that come after the takeover.
+/// A dead worker must not delay jobs that arrive after the takeover.
 fn a_new_job_does_not_wait_for_a_dead_worker() {
     let mut rig = successor();
     rig.hand_in(9, 200, job(vec![step(1)]));
     for _ in 0..20 {
         rig.report("w-1", vec![], vec![]);
-        rig.hold_fails("w-2");
-        rig.pass(100);
+        rig.fail_renewal("w-2");
+        rig.advance(100);
     }
     let started = rig.take_starts();
     let tasks: Vec<_> = started.iter().map(|(_, start)| start.key.task).collect();
     assert_eq!(tasks, vec![task(9, 0, 0)]);
 }
 
-/// Ends come from the workers in any order: each failed run counts once.
+/// Ends may arrive from the workers in any order: each failed run counts once.
 fn failures_count_in_any_order() {
     let mut rig = successor();
-    rig.report("w-2", vec![], vec![ended(1, key(12), RunOutcome::Failed)]);
+    rig.report(
+        "w-2",
+        vec![],
+        vec![end_report(1, key(12), RunOutcome::Failed)],
+    );
+    rig.report(
+        "w-1",
+        vec![run_report(key(13))],
+        vec![end_report(1, key(11), RunOutcome::Failed)],
+    );
     rig.report(
         "w-1",
-        vec![runs(key(13))],
-        vec![ended(1, key(11), RunOutcome::Failed)],
+        vec![],
+        vec![end_report(2, key(13), RunOutcome::Failed)],
     );
-    rig.report("w-1", vec![], vec![ended(2, key(13), RunOutcome::Failed)]);
-    rig.pass(100);
+    rig.advance(100);
     assert!(rig.peek_starts().is_empty(), "three runs have failed");
     let states: Vec<_> = rig
         .commit_all()
@@ -174,12 +191,17 @@
     assert_eq!(states.last(), Some(&sandshelf_jobs::JobStage::Failed));
 }
 
-/// A failed run whose end was durable, but not acknowledged, is listed again and not counted again.
+/// A failed run whose end was durable, but not acknowledged, is reported again and not counted
+/// again.
 fn a_failure_that_is_listed_again_counts_once() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
     rig.hand_in(7, 0, job(vec![step(1)]));
     let (_, start) = rig.take_starts().pop().expect("a start");
-    rig.report("w-1", vec![], vec![ended(1, start.key, RunOutcome::Failed)]);
+    rig.report(
+        "w-1",
+        vec![],
+        vec![end_report(1, start.key, RunOutcome::Failed)],
+    );
     let rows: Vec<_> = rig
         .commit_all()
         .into_iter()
@@ -196,8 +218,8 @@
     });
     next.hand_in(7, 50, job(vec![step(1)]));
     next.list(&["w-1"]);
-    let again = ended(1, start.key, RunOutcome::Failed);
-    next.report("w-1", vec![], vec![again.clone()]);
+    let reported_again = end_report(1, start.key, RunOutcome::Failed);
+    next.report("w-1", vec![], vec![reported_again.clone()]);
     let rows: Vec<_> = next
         .commit_all()
         .into_iter()
@@ -210,7 +232,7 @@
     assert!(failed.max().unwrap_or(1) <= 1);
 }
 
-/// An end of a job whose row has yet to be read must not hide the ends behind it.
+/// An end of a job whose row has not been read yet must not hide the ends behind it.
 fn an_end_of_an_unknown_job_hides_no_other() {
     let mut rig = successor();
     let unknown = RunKey {
@@ -218,38 +240,40 @@
         run: 10,
     };
     let ends = vec![
-        ended(1, unknown, RunOutcome::Done),
-        ended(2, key(11), RunOutcome::Done),
+        end_report(1, unknown, RunOutcome::Done),
+        end_report(2, key(11), RunOutcome::Done),
     ];
     rig.report("w-1", vec![], ends);
     rig.report("w-2", vec![], vec![]);
-    rig.pass(100);
+    rig.advance(100);
     assert!(rig.peek_starts().is_empty(), "the known job's task is done");
     rig.hand_in(99, 150, job(vec![step(1)]));
-    rig.pass(100);
+    rig.advance(100);
     assert!(
         rig.peek_starts().is_empty(),
         "the other job's task was done before its row was read"
     );
 }
 
-/// An owner that wakes up from a pause may have been followed: it gives no order before it has claimed anew.
+/// An owner that resumes after a pause may have been superseded: it sends no order before it has
+/// claimed the shard again.
 fn a_paused_owner_gives_up() {
     let mut rig = SchedulerRig::with_workers(&["w-1"]);
-    rig.pass(100);
+    rig.advance(100);
     rig.now += 4_000;
     rig.hand_in(7, 0, job(vec![step(1)]));
     assert!(rig.peek_starts().is_empty());
     assert!(rig.actions.contains(&sandshelf_jobs::JobAction::Deposed));
 }
 
-/// While jobs are still being read, their number says nothing: the earlier owner's stands until all are known.
+/// While jobs are still being read their count is not published: the earlier owner's count stays
+/// until all are known.
 fn waiting_jobs_are_counted_once_all_are_known() {
     let mut rig = successor();
     let early = rig.commit_all();
     assert!(early.iter().all(|batch| batch.pending.is_none()));
     rig.hand_in(8, 60, job(vec![step(1)]));
-    rig.pass(600);
+    rig.advance(600);
     let later = rig.commit_all().into_iter().find_map(|batch| batch.pending);
     assert_eq!(
         later.and_then(|counts| counts.get("lots").copied()),
@@ -265,9 +289,9 @@
     let alive = if dead == "w-1" { "w-2" } else { "w-1" };
     let wait = |rig: &mut SchedulerRig, times: u32| {
         for _ in 0..times {
-            rig.pass(100);
+            rig.advance(100);
             rig.report(alive, vec![], vec![]);
-            rig.hold_fails(&dead);
+            rig.fail_renewal(&dead);
         }
     };
     wait(&mut rig, 39);
@@ -278,8 +302,9 @@
     assert_eq!(starts[0].0, alive);
 }
 
-/// An owner that ends between the removal of a job's row and that of its progress leaves the progress behind.
-fn progress_without_a_job_is_removed_in_time() {
+/// An owner that ends after it has removed a job's row and before it has removed its progress
+/// leaves the progress behind.
+fn progress_without_a_job_is_removed() {
     let over = ProgressRow {
         stage: JobStage::Completed,
         ..ProgressRow::default()
@@ -291,22 +316,22 @@
     rig.list(&["w-1"]);
     rig.report("w-1", vec![], vec![]);
     rig.commit_all();
-    rig.pass(121_000);
+    rig.advance(121_000);
     let batches = rig.commit_all().into_iter();
     let forgotten: Vec<JobNumber> = batches.flat_map(|batch| batch.forget).collect();
     assert_eq!(forgotten, [JobNumber(9)]);
 }
 
 sandshelf_cases::cases! {
-    progress_without_job => progress_without_a_job_is_removed_in_time();
+    progress_without_job => progress_without_a_job_is_removed();
     old_failure => an_old_failure_does_not_free_a_task();
-    found_nowhere => a_task_found_nowhere_starts_once_all_have_answered();
+    reported_by_nobody => a_task_that_nobody_reports_starts_once_all_have_answered();
     silent_worker => a_silent_worker_is_waited_for_until_its_lease_is_over();
-    next_step => an_end_seen_first_does_not_free_the_next_step_too_early();
+    end_before_next_step => an_end_seen_first_does_not_free_the_next_step_too_early();
     newer_job => a_job_newer_than_the_claim_waits_for_the_workers();
     newer_job_dead_worker => a_new_job_does_not_wait_for_a_dead_worker();
     failures_in_any_order => failures_count_in_any_order();
-    failure_again => a_failure_that_is_listed_again_counts_once();
+    failure_reported_again => a_failure_that_is_listed_again_counts_once();
     end_of_unknown_job => an_end_of_an_unknown_job_hides_no_other();
     paused_owner => a_paused_owner_gives_up();
     waiting_jobs => waiting_jobs_are_counted_once_all_are_known();
--- a/crates/sandshelfd/src/shards.rs
+++ b/crates/sandshelfd/src/shards.rs
@@ -1,4 +1,4 @@
-//! Carries out what shard owners ask for: calls to the platform and to workers.
+//! Performs the actions of shard owners: calls to the platform and to workers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,8 +12,11 @@
 
 use crate::meters;
 
-/// Does one action and returns the event that answers it; a note has none, and rows are read by [`read_rows`].
-pub async fn carry_out(
+/// Performs one action and returns the event with its result.
+///
+/// None for a note and for an inbox that can't be read. [`ShardAction::ReadRow`] is not performed here: [`read_rows`]
+/// reads the rows of several shards together.
+pub async fn perform_action(
     platform: &PlatformClient,
     shard: &ShardId,
     action: ShardAction,
@@ -26,7 +29,7 @@
             snapshot,
             after,
             to,
-        } => Some(load(platform, shard, snapshot, after, to).await),
+        } => Some(load_state(platform, shard, snapshot, after, to).await),
         ShardAction::StoreSnapshot { digest, bytes } => {
             let stored = platform.put_object(&digest, bytes.to_vec()).await.is_ok();
             meters::note_platform("snapshot", stored);
@@ -50,7 +53,9 @@
     }
 }
 
-/// Reads the rows of these shards in one call, however many they are.
+/// Reads the rows of any number of shards in one call.
+///
+/// A failed call gives [`ShardEvent::RowReadFailed`] for each of them.
 pub async fn read_rows(
     platform: &PlatformClient,
     shards: &BTreeSet<ShardId>,
@@ -92,20 +97,20 @@
     }
 }
 
-async fn load(
+async fn load_state(
     platform: &PlatformClient,
     shard: &ShardId,
     snapshot: Option<String>,
     after: Sequence,
     to: Sequence,
 ) -> ShardEvent {
-    match try_load(platform, shard, snapshot, after, to).await {
+    match try_load_state(platform, shard, snapshot, after, to).await {
         Ok(event) => event,
         Err(_) => ShardEvent::StateLoadFailed,
     }
 }
 
-async fn try_load(
+async fn try_load_state(
     platform: &PlatformClient,
     shard: &ShardId,
     snapshot: Option<String>,
