--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/batch.rs
@@ -1,4 +1,4 @@
-//! The batch side of a run: real shard owners over the fakes, with short fixed delays.
+//! Simulates batch work: real shard owners with a fake store and fake workers that answer after short fixed delays.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,47 +15,47 @@
 
 use crate::scenario::PolicyChoice;
 
-/// How long a call to the store takes.
-const STORE_MS: Millis = 10;
-/// How long a message to a worker takes, there and back.
-const WORKER_MS: Millis = 2;
-/// The only team.
-const TEAM: &str = "team";
+/// Duration of a call to the store.
+const STORE_CALL_MS: Millis = 10;
+/// Round-trip time of a message to a worker.
+const WORKER_ROUND_TRIP_MS: Millis = 2;
+/// Name of the only team.
+const TEAM_NAME: &str = "team";
 
-/// An answer on its way to a shard's owner.
-struct Pending {
-    at: Millis,
+/// An event that a shard's owner receives at the virtual time `due_at`.
+struct PendingEvent {
+    due_at: Millis,
     shard: usize,
     event: ShardEvent,
 }
 
-/// The batch side of a run.
-pub struct BatchSide {
-    /// Workers that are there.
+/// Batch work of a simulated run: shard owners, workers, store and declared jobs.
+pub struct BatchSimulation {
+    /// Workers that have not failed.
     pub workers: BTreeMap<WorkerId, FakeWorker>,
-    /// Where each worker stands, and its service.
+    /// Location, capacity and service of each worker, including failed workers.
     pub entries: BTreeMap<WorkerId, WorkerEntry>,
-    /// Whether the store is down.
+    /// Whether the store is unavailable, so that no call to it is answered.
     pub store_down: bool,
-    /// Work done by workers that are no more, in milliseconds at full speed.
-    pub past_progress_ms: u64,
-    /// Evictions.
+    /// Work done by failed workers, in milliseconds at full speed.
+    pub failed_workers_progress_ms: u64,
+    /// Number of evicted tasks.
     pub evictions: u64,
-    /// Run time wasted by workers that are no more.
-    pub wasted_ms: u64,
+    /// Run time wasted by failed workers, in milliseconds.
+    pub failed_workers_wasted_ms: u64,
     owners: Vec<ShardOwner>,
     halls: Vec<HallId>,
     shards: Arc<Vec<ShardId>>,
     store: FakeStore,
-    pending: Vec<Pending>,
+    pending: Vec<PendingEvent>,
     jobs: Vec<JobSpec>,
     revision: u64,
     weights: PlaceWeights,
     gone: BTreeSet<WorkerId>,
 }
 
-impl BatchSide {
-    /// Makes a shard for each hall, all owned by one host.
+impl BatchSimulation {
+    /// Creates one shard per hall, with all shards owned by one entry host, and lists the workers to the owners.
     pub fn new(
         entries: Vec<WorkerEntry>,
         weights: PlaceWeights,
@@ -77,7 +77,7 @@
             let worker = FakeWorker::new(entry.worker.clone(), entry.capacity);
             (entry.worker.clone(), worker)
         });
-        let mut side = Self {
+        let mut simulation = Self {
             workers: workers.collect(),
             owners: owners.collect(),
             entries: entries
@@ -85,9 +85,9 @@
                 .map(|entry| (entry.worker.clone(), entry))
                 .collect(),
             store_down: false,
-            past_progress_ms: 0,
+            failed_workers_progress_ms: 0,
             evictions: 0,
-            wasted_ms: 0,
+            failed_workers_wasted_ms: 0,
             halls,
             shards,
             store: FakeStore::default(),
@@ -97,12 +97,12 @@
             weights,
             gone: BTreeSet::new(),
         };
-        side.list_workers(0);
-        side
+        simulation.list_workers(0);
+        simulation
     }
 
-    /// Teaches every owner the hidden effects; for the oracle.
-    pub fn teach(&mut self, samples: &[SlowdownSample]) {
+    /// Feeds `samples` to the estimates of every owner, as the oracle policy needs.
+    pub fn learn_samples(&mut self, samples: &[SlowdownSample]) {
         for owner in &mut self.owners {
             for sample in samples {
                 owner.learn(0, sample);
@@ -110,26 +110,26 @@
         }
     }
 
-    /// Declares another job.
-    pub fn declare(&mut self, now: Millis, job: JobSpec) {
+    /// Adds a job to the configuration and sends the new revision to all owners.
+    pub fn declare_job(&mut self, now: Millis, job: JobSpec) {
         self.jobs.push(job);
         self.configure(now);
     }
 
-    /// Takes jobs out of the declarations.
-    pub fn cancel(&mut self, now: Millis, keep: impl Fn(&JobSpec) -> bool) {
+    /// Removes the jobs for which `keep` returns false from the configuration, which cancels them.
+    pub fn cancel_jobs_except(&mut self, now: Millis, keep: impl Fn(&JobSpec) -> bool) {
         self.jobs.retain(keep);
         self.configure(now);
     }
 
     fn configure(&mut self, now: Millis) {
         self.revision += 1;
-        let huge = ResourceSize::new(1 << 40, 1 << 40, 1 << 20);
+        let unlimited = ResourceSize::new(1 << 40, 1 << 40, 1 << 20);
         let set = Arc::new(ConfigSet {
             jobs: self.jobs.clone(),
             teams: vec![TeamQuota {
-                name: TeamId::from(TEAM),
-                quota: huge,
+                name: TeamId::from(TEAM_NAME),
+                quota: unlimited,
             }],
             weights: PolicyWeights {
                 tail: self.weights.tail as u32,
@@ -140,8 +140,8 @@
         });
         for shard in 0..self.owners.len() {
             let quota = ShardEvent::QuotaSliceUpdated {
-                team: TeamId::from(TEAM),
-                slice: huge,
+                team: TeamId::from(TEAM_NAME),
+                slice: unlimited,
             };
             self.feed(now, shard, quota);
             let event = ShardEvent::Configured {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Tells each owner of its hall's workers.
+    /// Sends each owner the list of its hall's workers and of all failed workers.
     pub fn list_workers(&mut self, now: Millis) {
         for shard in 0..self.owners.len() {
             let hall = &self.halls[shard];
@@ -171,19 +171,21 @@
         }
     }
 
-    /// Loses a worker; the platform lists it as gone when [`BatchSide::list_workers`] is called next.
-    pub fn lose(&mut self, now: Millis, worker: &WorkerId) {
-        if let Some(mut lost) = self.workers.remove(worker) {
-            lost.advance(now);
-            let running: u64 = lost.running().map(|task| task.ran_ms()).sum();
-            self.wasted_ms += lost.wasted_ms + running;
-            self.past_progress_ms += lost.progress_ms;
+    /// Makes a worker fail. Owners see it as gone after the next call of [`BatchSimulation::list_workers`].
+    ///
+    /// Does nothing if the worker is unknown or has failed before.
+    pub fn fail_worker(&mut self, now: Millis, worker: &WorkerId) {
+        if let Some(mut failed) = self.workers.remove(worker) {
+            failed.advance(now);
+            let running: u64 = failed.running().map(|task| task.ran_ms()).sum();
+            self.failed_workers_wasted_ms += failed.wasted_ms + running;
+            self.failed_workers_progress_ms += failed.progress_ms;
             self.gone.insert(worker.clone());
         }
     }
 
-    /// Hands a late measurement to the owner of a worker's shard.
-    pub fn measure(&mut self, now: Millis, worker: &WorkerId, sample: SlowdownSample) {
+    /// Sends a slowdown sample to the owner of the worker's shard. Samples of unknown workers are dropped.
+    pub fn report_slowdown(&mut self, now: Millis, worker: &WorkerId, sample: SlowdownSample) {
         let Some(entry) = self.entries.get(worker) else {
             return;
         };
@@ -195,20 +197,20 @@
         self.feed(now, shard.unwrap_or(0), event);
     }
 
-    /// Run time of attempts that ended without finish or checkpoint, over all workers that ever were.
+    /// Run time of attempts that ended without finish or checkpoint, in milliseconds, including failed workers.
     pub fn total_wasted_ms(&self) -> u64 {
         let workers = self.workers.values();
-        self.wasted_ms + workers.map(|worker| worker.wasted_ms).sum::<u64>()
+        self.failed_workers_wasted_ms + workers.map(|worker| worker.wasted_ms).sum::<u64>()
     }
 
-    /// Work done by attempts that was not wasted, over all workers that ever were.
+    /// Work done by attempts and not wasted, in milliseconds at full speed, including failed workers.
     pub fn total_progress_ms(&self) -> u64 {
         let workers = self.workers.values();
         let progress = workers.map(|worker| worker.progress_ms).sum::<u64>();
-        (self.past_progress_ms + progress).saturating_sub(self.total_wasted_ms())
+        (self.failed_workers_progress_ms + progress).saturating_sub(self.total_wasted_ms())
     }
 
-    /// The families that run on a worker, as its owner knows them.
+    /// The families of the tasks on a worker with their number of tasks, according to the owners' reservations.
     pub fn families_on(&self, worker: &WorkerId) -> Vec<(String, u32)> {
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
         for owner in &self.owners {
@@ -219,20 +221,20 @@
         families.into_iter().collect()
     }
 
-    /// Whether a job's first task runs.
-    pub fn runs(&self, job: &JobId) -> bool {
+    /// Whether any task of the job is running on a worker.
+    pub fn is_running(&self, job: &JobId) -> bool {
         let workers = self.workers.values();
         workers
             .flat_map(FakeWorker::running)
             .any(|task| task.attempt.task.job == *job)
     }
 
-    /// Lets time pass to `now`.
+    /// Advances workers, store answers and shard owners to `now`.
     pub fn tick(&mut self, now: Millis) {
         for worker in self.workers.values_mut() {
             worker.advance(now);
         }
-        self.deliver(now);
+        self.deliver_due_events(now);
         let rooms: Vec<ShardRoom> = self
             .owners
             .iter()
@@ -243,21 +245,21 @@
             self.feed(now, shard, ShardEvent::RoomReceived(rooms.clone()));
             self.feed(now, shard, ShardEvent::Tick);
         }
-        self.deliver(now);
+        self.deliver_due_events(now);
     }
 
-    /// Delivers what has arrived by now, in the order of arrival.
-    fn deliver(&mut self, now: Millis) {
+    /// Delivers all events that are due by `now`, ordered by due time and then by insertion.
+    fn deliver_due_events(&mut self, now: Millis) {
         loop {
             let next = self
                 .pending
                 .iter()
                 .enumerate()
-                .filter(|(_, pending)| pending.at <= now)
-                .min_by_key(|(position, pending)| (pending.at, *position));
+                .filter(|(_, pending)| pending.due_at <= now)
+                .min_by_key(|(position, pending)| (pending.due_at, *position));
             let Some((position, _)) = next else { return };
             let pending = self.pending.remove(position);
-            self.feed(pending.at.max(1), pending.shard, pending.event);
+            self.feed(pending.due_at.max(1), pending.shard, pending.event);
         }
     }
 
@@ -270,51 +272,55 @@
 
     fn serve(&mut self, now: Millis, shard: usize, action: ShardAction) {
         if let ShardAction::Note(note) = &action {
-            self.count(note);
+            self.count_evictions(note);
             return;
         }
         if let ShardAction::SendOrders { worker, orders } = action {
             let report = self
                 .workers
                 .get_mut(&worker)
-                .map(|there| there.handle(now, &orders));
+                .map(|target| target.handle(now, &orders));
             let event = ShardEvent::WorkerAnswered {
                 worker,
                 epoch: orders.epoch,
                 number: orders.number,
                 report,
             };
-            self.push(now + WORKER_MS, shard, event);
+            self.push(now + WORKER_ROUND_TRIP_MS, shard, event);
             return;
         }
-        let event = if self.store_down {
+        let answer = if self.store_down {
             unanswered(&action)
         } else {
             let name = self.shards[shard].clone();
             self.store.serve(&name, &action)
         };
-        if let Some(event) = event {
-            self.push(now + STORE_MS, shard, event);
+        if let Some(event) = answer {
+            self.push(now + STORE_CALL_MS, shard, event);
         }
     }
 
-    fn push(&mut self, at: Millis, shard: usize, event: ShardEvent) {
-        self.pending.push(Pending { at, shard, event });
+    fn push(&mut self, due_at: Millis, shard: usize, event: ShardEvent) {
+        self.pending.push(PendingEvent {
+            due_at,
+            shard,
+            event,
+        });
     }
 
-    fn count(&mut self, note: &ShardNote) {
+    fn count_evictions(&mut self, note: &ShardNote) {
         if let ShardNote::Evicted(_) = note {
             self.evictions += 1;
         }
     }
 }
 
-/// Describes a job of the runs.
-pub fn job(name: &str, family: &str, tasks: u32, cpu_millis: u64, run_ms: Millis) -> JobSpec {
+/// Specification of a batch job with `tasks` tasks, each of which needs `cpu_millis` and runs for `run_ms` at full speed.
+pub fn job_spec(name: &str, family: &str, tasks: u32, cpu_millis: u64, run_ms: Millis) -> JobSpec {
     JobSpec {
         name: JobId::from(name),
         kind: JobKind::Batch,
-        team: TeamId::from(TEAM),
+        team: TeamId::from(TEAM_NAME),
         family: family.to_owned(),
         tasks,
         size: ResourceSize::new(cpu_millis, 1_000, 0),
@@ -326,13 +332,19 @@
     }
 }
 
-/// Describes a worker with one service on it.
-pub fn entry(number: usize, halls: usize, cpu_millis: u64, service: &str) -> WorkerEntry {
-    const RACK: usize = 8;
+/// Listing of worker `number` with one service, which reserves a quarter of the CPU capacity.
+///
+/// Workers are spread over `halls` halls in turn, in racks of eight workers.
+pub fn worker_entry(number: usize, halls: usize, cpu_millis: u64, service: &str) -> WorkerEntry {
+    const WORKERS_PER_RACK: usize = 8;
     WorkerEntry {
         worker: WorkerId::from(format!("w-{number:05}")),
         hall: HallId::from(format!("hall-{}", number % halls)),
-        rack: RackId::from(format!("rack-{}-{}", number % halls, number / halls / RACK)),
+        rack: RackId::from(format!(
+            "rack-{}-{}",
+            number % halls,
+            number / halls / WORKERS_PER_RACK
+        )),
         capacity: ResourceSize::new(cpu_millis, 60_000, 0),
         services: vec![(
             ServiceId::from(service),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,11 +1,11 @@
-//! Measuring programs: policy tables under load and faults, slopes towards the planned size, costs of decisions.
+//! Simulations and measurements: policies under load and faults, scaling towards the planned fleet size, costs of decisions.
 //!
-//! Development only. Policy runs use virtual time and one seed each, so that every figure repeats exactly.
+//! Development only. Each policy run uses virtual time and one random seed, so its results are exactly reproducible.
 
-pub mod control;
+pub mod batch;
+pub mod ground_truth;
 pub mod report;
 pub mod scenario;
 pub mod sim;
 pub mod slopes;
-pub mod truth;
 pub mod wire;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The command of the measuring programs.
+//! The `sandshelf-bench` command: parses the arguments and prints the measurements.
 
 use std::fs;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use sandshelf_bench::wire::print_wire;
 
 const HELP: &str = "\
-sandshelf-bench: measuring programs (development only; build with --release)
+sandshelf-bench: simulations and measurements (development only; build with --release)
 
 Usage:
   sandshelf-bench policy [--seeds N] [--seconds N] [--scenario NAME] [--out DIR]
@@ -31,9 +31,9 @@
 
 fn run() -> Result<(), String> {
     let mut parser = lexopt::Parser::from_env();
-    let text = |error: lexopt::Error| error.to_string();
-    let command = match parser.next().map_err(text)? {
-        Some(Value(word)) => word.string().map_err(text)?,
+    let to_message = |error: lexopt::Error| error.to_string();
+    let command = match parser.next().map_err(to_message)? {
+        Some(Value(name)) => name.string().map_err(to_message)?,
         _ => return Err(HELP.to_owned()),
     };
     match command.as_str() {
@@ -52,21 +52,26 @@
 }
 
 fn run_policy(parser: &mut lexopt::Parser) -> Result<(), String> {
-    let text = |error: lexopt::Error| error.to_string();
+    let to_message = |error: lexopt::Error| error.to_string();
     let mut seeds = 3_u64;
     let mut seconds = 120_u64;
     let mut scenarios = ScenarioKind::ALL.to_vec();
     let mut out: Option<PathBuf> = None;
-    while let Some(argument) = parser.next().map_err(text)? {
+    while let Some(argument) = parser.next().map_err(to_message)? {
         match argument {
-            Long("seeds") => seeds = parser.value().and_then(|v| v.parse()).map_err(text)?,
-            Long("seconds") => seconds = parser.value().and_then(|v| v.parse()).map_err(text)?,
-            Long("out") => out = Some(parser.value().map_err(text)?.into()),
+            Long("seeds") => seeds = parser.value().and_then(|v| v.parse()).map_err(to_message)?,
+            Long("seconds") => {
+                seconds = parser.value().and_then(|v| v.parse()).map_err(to_message)?
+            }
+            Long("out") => out = Some(parser.value().map_err(to_message)?.into()),
             Long("scenario") => {
-                let name = parser.value().and_then(|v| v.string()).map_err(text)?;
+                let name = parser
+                    .value()
+                    .and_then(|v| v.string())
+                    .map_err(to_message)?;
                 scenarios.retain(|scenario| scenario.label() == name);
             }
-            other => return Err(text(other.unexpected())),
+            other => return Err(to_message(other.unexpected())),
         }
     }
     let seeds: Vec<u64> = (1..=seeds).collect();
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables and plots of policy runs.
+//! Runs the policy simulations and writes their results as tables and plots.
 
 use std::fs;
 use std::path::Path;
@@ -12,39 +12,44 @@
 use crate::scenario::{OperatorKind, PolicyChoice, RunPlan, ScenarioKind, POLICIES};
 use crate::sim::{run, RunResult};
 
-/// Runs at a time.
+/// Number of runs executed concurrently.
 const THREADS: usize = 6;
 
-/// What one policy came to in one scenario: the median over the seeds, and the worst p99.
+/// Result of one policy in one scenario: medians over the seeds, and the worst p99.
+///
+/// With an even number of seeds the median is the higher of the two middle values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableRow {
-    /// The operator.
+    /// The simulated operator.
     pub operator: OperatorKind,
-    /// The scenario.
+    /// The simulated scenario.
     pub scenario: ScenarioKind,
     /// The policy's name.
     pub policy: &'static str,
-    /// Latency percentiles in milliseconds.
+    /// The 50th percentile of the request latency, in milliseconds.
     pub p50: f64,
-    /// The 99th.
+    /// The 99th percentile, in milliseconds.
     pub p99: f64,
-    /// The 99.9th.
+    /// The 99.9th percentile, in milliseconds.
     pub p999: f64,
-    /// The 99th of the worst seed.
+    /// The highest 99th percentile of all seeds, in milliseconds.
     pub worst_p99: f64,
-    /// Requests not answered, in percent.
+    /// Requests that were not answered, in percent of the arrived requests.
     pub lost_percent: f64,
-    /// Batch work done, in task seconds.
+    /// Batch work done and not lost, in task seconds at full speed.
     pub batch_s: f64,
-    /// Evictions.
+    /// Number of evicted tasks.
     pub evictions: f64,
-    /// Work wasted, in task seconds.
+    /// Run time of attempts that ended without finish or checkpoint, in task seconds.
     pub wasted_s: f64,
-    /// The slowest urgent start, in milliseconds.
+    /// The longest time from the declaration of an urgent job to its start, in milliseconds.
     pub urgent_ms: f64,
 }
 
-/// Runs every combination and returns the rows in order.
+/// Simulates every combination for `length_ms` of virtual time and returns one row per operator, scenario and policy, in that order.
+///
+/// # Panics
+/// `seeds` is empty.
 pub fn measure(
     operators: &[OperatorKind],
     scenarios: &[ScenarioKind],
@@ -96,7 +101,7 @@
 }
 
 fn row(plan: &RunPlan, results: &[RunResult]) -> TableRow {
-    let of = |value: &dyn Fn(&RunResult) -> f64| {
+    let median = |value: &dyn Fn(&RunResult) -> f64| {
         let mut values: Vec<f64> = results.iter().map(value).collect();
         values.sort_by(f64::total_cmp);
         values[values.len() / 2]
@@ -106,19 +111,19 @@
         operator: plan.operator,
         scenario: plan.scenario,
         policy: plan.policy.name,
-        p50: of(&|result| result.latency_ms(50.0)),
-        p99: of(&|result| result.latency_ms(99.0)),
-        p999: of(&|result| result.latency_ms(99.9)),
+        p50: median(&|result| result.latency_ms(50.0)),
+        p99: median(&|result| result.latency_ms(99.0)),
+        p999: median(&|result| result.latency_ms(99.9)),
         worst_p99: worst.fold(0.0, f64::max),
-        lost_percent: of(&RunResult::lost_percent),
-        batch_s: of(&|result| result.batch_s as f64),
-        evictions: of(&|result| result.evictions as f64),
-        wasted_s: of(&|result| result.wasted_s as f64),
-        urgent_ms: of(&|result| result.urgent_ms as f64),
+        lost_percent: median(&RunResult::lost_percent),
+        batch_s: median(&|result| result.batch_s as f64),
+        evictions: median(&|result| result.evictions as f64),
+        wasted_s: median(&|result| result.wasted_s as f64),
+        urgent_ms: median(&|result| result.urgent_ms as f64),
     }
 }
 
-/// Writes rows as a Markdown table.
+/// Formats rows as a Markdown table.
 pub fn to_markdown(rows: &[TableRow]) -> String {
     let mut text = String::from(
         "| operator | scenario | policy | p50 ms | p99 ms | p99.9 ms | worst p99 | not answered % | batch s | evictions | wasted s | urgent ms |\n\
@@ -144,21 +149,26 @@
     text
 }
 
-/// Draws the 99th percentile and the batch work of each policy, by scenario, into `directory`.
+/// Draws bar charts of the 99th percentile and the batch work of each policy, grouped by scenario.
+///
+/// Writes two SVG files per operator into `directory`, which is created if needed.
 ///
 /// # Errors
-/// A file can't be written.
+/// The directory can't be created or a file can't be written.
 pub fn draw(rows: &[TableRow], directory: &Path) -> Result<(), String> {
     fs::create_dir_all(directory).map_err(|error| error.to_string())?;
     for operator in OperatorKind::ALL {
-        let of: Vec<&TableRow> = rows.iter().filter(|row| row.operator == operator).collect();
-        if of.is_empty() {
+        let operator_rows: Vec<&TableRow> =
+            rows.iter().filter(|row| row.operator == operator).collect();
+        if operator_rows.is_empty() {
             continue;
         }
         let path = directory.join(format!("{}-p99.svg", operator.label()));
-        draw_bars(&of, &path, "p99 in ms", |row| row.p99)?;
+        draw_bars(&operator_rows, &path, "p99 in ms", |row| row.p99)?;
         let path = directory.join(format!("{}-batch.svg", operator.label()));
-        draw_bars(&of, &path, "batch work in task seconds", |row| row.batch_s)?;
+        draw_bars(&operator_rows, &path, "batch work in task seconds", |row| {
+            row.batch_s
+        })?;
     }
     Ok(())
 }
@@ -169,34 +179,42 @@
     title: &str,
     value: impl Fn(&TableRow) -> f64,
 ) -> Result<(), String> {
-    let text = |error: &dyn std::fmt::Display| error.to_string();
+    let to_message = |error: &dyn std::fmt::Display| error.to_string();
     let area = SVGBackend::new(path, (1_200, 500)).into_drawing_area();
-    area.fill(&WHITE).map_err(|error| text(&error))?;
-    let most = rows.iter().map(|row| value(row)).fold(1.0, f64::max);
+    area.fill(&WHITE).map_err(|error| to_message(&error))?;
+    let highest = rows.iter().map(|row| value(row)).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..rows.len() as f64, 0.0..most * 1.1)
-        .map_err(|error| text(&error))?;
+        .build_cartesian_2d(0.0..rows.len() as f64, 0.0..highest * 1.1)
+        .map_err(|error| to_message(&error))?;
     let mesh = chart.configure_mesh().disable_x_mesh().x_labels(0).draw();
-    mesh.map_err(|error| text(&error))?;
+    mesh.map_err(|error| to_message(&error))?;
     let bars = rows.iter().enumerate().map(|(position, row)| {
         let policy = POLICIES.iter().position(|policy| policy.name == row.policy);
         let color = Palette99::pick(policy.unwrap_or(0)).filled();
         let left = position as f64;
         Rectangle::new([(left + 0.1, 0.0), (left + 0.9, value(row))], color)
     });
-    chart.draw_series(bars).map_err(|error| text(&error))?;
+    chart
+        .draw_series(bars)
+        .map_err(|error| to_message(&error))?;
     let labels = rows
         .iter()
         .enumerate()
         .filter(|(position, _)| position % POLICIES.len() == 0);
     let labels = labels.map(|(position, row)| {
         let style = ("sans-serif", 12).into_font();
-        Text::new(row.scenario.label(), (position as f64, most * 1.05), style)
+        Text::new(
+            row.scenario.label(),
+            (position as f64, highest * 1.05),
+            style,
+        )
     });
-    chart.draw_series(labels).map_err(|error| text(&error))?;
-    area.present().map_err(|error| text(&error))
+    chart
+        .draw_series(labels)
+        .map_err(|error| to_message(&error))?;
+    area.present().map_err(|error| to_message(&error))
 }
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,23 +1,23 @@
-//! Scenarios and policies of the policy runs.
+//! Operators, scenarios and policies of the simulated runs.
 
 use sandshelf_model::Millis;
 use sandshelf_place::{PlaceStrategy, PlaceWeights, PressureStrategy};
 use sandshelf_route::RouteStrategy;
 
-/// An operator, by size and weights.
+/// A simulated operator: fleet size and policy weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorKind {
-    /// Four halls, 65 workers of 16 cores; the tail weighs most.
+    /// Four halls, 65 workers with 16 cores each. Tail latency has the highest weight.
     Auction,
-    /// Three halls, 50 workers of 64 cores; throughput weighs more.
+    /// Three halls, 50 workers with 64 cores each. Throughput of batch work has the highest weight.
     CodeSearch,
 }
 
 impl OperatorKind {
-    /// Both operators.
+    /// Both operators, in the order of the tables.
     pub const ALL: [OperatorKind; 2] = [OperatorKind::Auction, OperatorKind::CodeSearch];
 
-    /// The name in tables.
+    /// The name printed in tables.
     pub fn label(self) -> &'static str {
         match self {
             OperatorKind::Auction => "auction",
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Halls and workers.
-    pub fn size(self) -> (usize, usize) {
+    /// Number of halls and number of workers.
+    pub fn halls_and_workers(self) -> (usize, usize) {
         match self {
             OperatorKind::Auction => (4, 65),
             OperatorKind::CodeSearch => (3, 50),
         }
     }
 
-    /// Cores of one worker, in thousandths.
+    /// CPU capacity of one worker, in thousandths of a core.
     pub fn cpu_millis(self) -> u64 {
         match self {
             OperatorKind::Auction => 16_000,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What one batch task declares, in thousandths of a core.
+    /// CPU that one batch task declares, in thousandths of a core.
     pub fn task_cpu_millis(self) -> u64 {
         match self {
             OperatorKind::Auction => 2_000,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The operator's weights.
+    /// The operator's weights of tail latency, throughput and evictions.
     pub fn weights(self) -> PlaceWeights {
         match self {
             OperatorKind::Auction => PlaceWeights {
@@ -66,37 +66,37 @@
     }
 }
 
-/// What happens in a run.
+/// The load and the faults of a run. One-time faults occur halfway through the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScenarioKind {
-    /// Load at 40 % of the slots.
+    /// Steady load at 40 % of the slots, no faults.
     Calm,
-    /// Load rises to the landings' peak.
+    /// Load rises to its peak.
     Peak,
-    /// A wave of noisy tasks arrives.
+    /// An urgent job with many tasks of the family `noisy` is declared.
     NoisyWave,
-    /// A rack is lost.
+    /// All workers of one rack fail.
     RackLost,
-    /// A hall is lost.
+    /// All workers of one hall fail.
     HallLost,
-    /// The store is down for a third of the run.
+    /// The store is unavailable for a third of the run.
     StoreDown,
-    /// An entry host is lost.
+    /// One entry host fails.
     EntryHostLost,
     /// Most waiting and running jobs are cancelled at once.
     Cancellations,
-    /// Tasks use four times what they declare.
+    /// Tasks use four times the CPU that they declare.
     DeclaredTooSmall,
-    /// Tasks use a quarter of what they declare.
+    /// Tasks use a quarter of the CPU that they declare.
     DeclaredTooLarge,
     /// Some workers fail every task.
     BadWorkers,
-    /// A rack is lost at the peak.
+    /// All workers of one rack fail while the load is at its peak.
     PeakAndRackLost,
 }
 
 impl ScenarioKind {
-    /// Every scenario.
+    /// All scenarios, in the order of the tables.
     pub const ALL: [ScenarioKind; 12] = [
         ScenarioKind::Calm,
         ScenarioKind::Peak,
@@ -112,7 +112,7 @@
         ScenarioKind::PeakAndRackLost,
     ];
 
-    /// The name in tables.
+    /// The name printed in tables.
     pub fn label(self) -> &'static str {
         match self {
             ScenarioKind::Calm => "calm",
@@ -130,18 +130,18 @@
         }
     }
 
-    /// The part of all slots that requests would use without interference, at a part of the run from 0 to 1.
-    pub fn load(self, part: f64) -> f64 {
+    /// The fraction of all slots that requests would use without interference, at `elapsed`, the elapsed fraction of the run (0 to 1).
+    pub fn load(self, elapsed: f64) -> f64 {
         match self {
             ScenarioKind::Peak | ScenarioKind::PeakAndRackLost => {
-                let rise = ((part - 0.2) / 0.2).clamp(0.0, 1.0);
+                let rise = ((elapsed - 0.2) / 0.2).clamp(0.0, 1.0);
                 0.25 + 0.30 * rise
             }
             _ => 0.40,
         }
     }
 
-    /// Tasks' real use, in percent of what they declare.
+    /// CPU that tasks actually use, in percent of the CPU that they declare.
     pub fn usage_percent(self) -> u64 {
         match self {
             ScenarioKind::DeclaredTooSmall => 400,
@@ -154,19 +154,19 @@
 /// How requests are routed and tasks are placed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicyChoice {
-    /// The name in tables.
+    /// The name printed in tables.
     pub name: &'static str,
-    /// Routing.
+    /// How requests are routed.
     pub route: RouteStrategy,
-    /// Placement.
+    /// How tasks are placed.
     pub place: PlaceStrategy,
-    /// What is done under pressure.
+    /// How batch tasks are throttled or evicted when they slow down a service, if at all.
     pub pressure: PressureStrategy,
-    /// Whether the hidden effects are known from the start.
+    /// Whether the true slowdowns are known to the policy from the start.
     pub oracle: bool,
 }
 
-/// The policies compared: two baselines, parts of ours, ours, and ours with the hidden effects known.
+/// The compared policies: two baselines, ours without throttling and evictions, ours, and ours with the true slowdowns known.
 pub const POLICIES: [PolicyChoice; 5] = [
     PolicyChoice {
         name: "random+first-fit",
@@ -205,17 +205,17 @@
     },
 ];
 
-/// One run.
+/// The parameters of one simulated run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunPlan {
-    /// The operator.
+    /// The simulated operator.
     pub operator: OperatorKind,
-    /// What happens.
+    /// The load and the faults.
     pub scenario: ScenarioKind,
-    /// The policy.
+    /// The policy under test.
     pub policy: PolicyChoice,
-    /// The seed.
+    /// Seed of every random source in the run.
     pub seed: u64,
-    /// How long the run is.
+    /// Length of the run in virtual time, in milliseconds.
     pub length_ms: Millis,
 }
--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -1,7 +1,7 @@
-//! One run: entry hosts' routers, backend servers whose speed depends on what runs beside them, and the batch side.
+//! Simulates one run: the routers of the entry hosts, backend servers that are slowed down by batch tasks on the same worker, and batch work.
 
-mod happenings;
 mod requests;
+mod scenario_events;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -13,69 +13,71 @@
 use sandshelf_place::{LatencyWindow, LoadBand, SlowdownMeter, SlowdownSample};
 use sandshelf_route::{RouteCore, RouteEvent, RouteLimits, ServerEntry};
 
-use crate::control::{entry, BatchSide};
+use crate::batch::{worker_entry, BatchSimulation};
+use crate::ground_truth::{true_slowdown, FAMILIES, SERVICES};
 use crate::scenario::RunPlan;
-use crate::truth::{effect, FAMILIES, SERVICES};
 
-/// Entry hosts of a run.
-const HOSTS: usize = 6;
-/// Slots of one backend server.
-const SLOTS: u32 = 8;
-/// What a request takes alone, on average, in microseconds.
-const SERVICE_US: f64 = 60_000.0;
-/// How long a caller waits.
-const DEADLINE_MS: Millis = 2_000;
-/// One way between halls, in microseconds.
-const HALL_US: u64 = 500;
-/// How often speeds and the batch side are brought up to date.
+/// Number of entry hosts in a run.
+const ENTRY_HOSTS: usize = 6;
+/// Number of request slots of one backend server.
+const SLOTS_PER_SERVER: u32 = 8;
+/// Mean service time of a request without interference.
+const MEAN_SERVICE_US: f64 = 60_000.0;
+/// Time from the arrival of a request to its deadline.
+const REQUEST_DEADLINE_MS: Millis = 2_000;
+/// One-way network latency between an entry host and a backend server in different halls.
+const INTER_HALL_US: u64 = 500;
+/// Interval at which server slowdowns and batch work are updated.
 const TICK_MS: Millis = 100;
-/// How often latencies are judged.
-const JUDGE_MS: Millis = 1_000;
-/// How late a measurement arrives.
-const LAG_MS: Millis = 1_500;
-/// How long after a loss the platform lists it.
-const LIST_LAG_MS: Millis = 3_000;
-/// How often an urgent job is declared.
-const URGENT_EVERY_MS: Millis = 5_000;
-/// How long the tasks of the first family run undisturbed.
-const TASK_MS: Millis = 9_000;
-/// How much longer the tasks of each further family run.
-const LONGER_MS: Millis = 2_000;
-/// The part of the run that is not measured, as estimates are learned.
-const WARM_UP: f64 = 0.4;
+/// Length of the latency windows from which slowdown samples are computed.
+const LATENCY_WINDOW_MS: Millis = 1_000;
+/// Delay between the computation of a slowdown sample and its delivery to the shard owner.
+const SAMPLE_DELAY_MS: Millis = 1_500;
+/// Delay between the failure of workers and their listing as gone by the platform.
+const LOSS_LISTING_DELAY_MS: Millis = 3_000;
+/// Interval at which urgent jobs are declared.
+const URGENT_INTERVAL_MS: Millis = 5_000;
+/// Run time of a task of the first family at full speed.
+const BASE_TASK_MS: Millis = 9_000;
+/// Additional run time of a task for each further family.
+const TASK_MS_STEP: Millis = 2_000;
+/// Fraction of the run that is not measured, because the policies still learn their estimates.
+const WARM_UP_FRACTION: f64 = 0.4;
 
-/// What a run came to.
+/// Results of one run, without the warm-up.
 #[derive(Clone, Debug)]
 pub struct RunResult {
     /// Latencies of answered requests, in microseconds.
     pub latency: Histogram<u64>,
-    /// Requests that arrived after the warm-up.
+    /// Number of requests that arrived after the warm-up.
     pub arrived: u64,
-    /// Requests answered within their deadline.
-    pub good: u64,
-    /// Requests that were not run.
-    pub refused: u64,
-    /// Requests of unknown fate.
-    pub unknown: u64,
+    /// Number of requests answered within their deadline.
+    pub within_deadline: u64,
+    /// Number of requests that were given up and certainly did not run.
+    pub not_run: u64,
+    /// Number of requests that were given up after they ran or may have run.
+    pub may_have_run: u64,
     /// Batch work done and not lost, in task seconds at full speed.
     pub batch_s: u64,
-    /// Evictions.
+    /// Number of evicted tasks.
     pub evictions: u64,
-    /// Run time wasted, in task seconds.
+    /// Run time of attempts that ended without finish or checkpoint, in task seconds.
     pub wasted_s: u64,
-    /// The longest time that an urgent job took to start.
+    /// The longest time from the declaration of an urgent job to its start, in milliseconds.
+    ///
+    /// Jobs that have not started at the end of the run count with the time that they have waited.
     pub urgent_ms: Millis,
 }
 
 impl RunResult {
-    /// A percentile of the latency, in milliseconds.
+    /// The latency at `percentile` (0 to 100), in milliseconds.
     pub fn latency_ms(&self, percentile: f64) -> f64 {
         self.latency.value_at_percentile(percentile) as f64 / 1_000.0
     }
 
-    /// The part of requests that were not answered, in percent.
+    /// Requests that were not answered, in percent of the arrived requests.
     pub fn lost_percent(&self) -> f64 {
-        (self.refused + self.unknown) as f64 * 100.0 / self.arrived.max(1) as f64
+        (self.not_run + self.may_have_run) as f64 * 100.0 / self.arrived.max(1) as f64
     }
 }
 
@@ -91,7 +93,7 @@
         host: usize,
         request: u64,
         server: usize,
-        life: u32,
+        incarnation: u32,
     },
     Ended {
         host: usize,
@@ -113,11 +115,11 @@
     service: usize,
     hall: usize,
     alive: bool,
-    life: u32,
-    busy: u32,
-    busy_mean: f64,
+    incarnation: u32,
+    busy_slots: u32,
+    mean_busy_slots: f64,
     slowdown: f64,
-    open: Vec<(usize, u64)>,
+    in_flight: Vec<(usize, u64)>,
 }
 
 struct SimRequest {
@@ -126,56 +128,58 @@
     measured: bool,
 }
 
-/// One run's state.
+/// State of one run. Times with the suffix `_us` are virtual microseconds since the start.
+///
+/// Events with the same time are handled in the order in which they were pushed.
 struct FleetSim {
     plan: RunPlan,
     now_us: u64,
-    order: u64,
+    event_count: u64,
     queue: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
-    source: ChaCha8Rng,
+    rng: ChaCha8Rng,
     hosts: Vec<RouteCore>,
     host_alive: Vec<bool>,
     servers: Vec<SimServer>,
     requests: HashMap<u64, SimRequest>,
     windows: BTreeMap<WorkerId, LatencyWindow>,
-    late: Vec<(Millis, WorkerId, SlowdownSample)>,
-    meter: SlowdownMeter,
-    batch: BatchSide,
+    delayed_samples: Vec<(Millis, WorkerId, SlowdownSample)>,
+    slowdown_meter: SlowdownMeter,
+    batch: BatchSimulation,
     result: RunResult,
     next_request: u64,
-    urgent: Vec<(Millis, JobId)>,
+    waiting_urgent: Vec<(Millis, JobId)>,
     urgent_count: u32,
-    happened: bool,
-    listed_at: Option<Millis>,
-    work_before: u64,
-    evictions_before: u64,
-    wasted_before: u64,
-    warm: bool,
+    scenario_applied: bool,
+    loss_listed_at: Option<Millis>,
+    warm_up_progress_ms: u64,
+    warm_up_evictions: u64,
+    warm_up_wasted_ms: u64,
+    warmed_up: bool,
 }
 
-/// Runs one plan to its end.
+/// Simulates one run for the length given in `plan` and returns its results.
 pub fn run(plan: RunPlan) -> RunResult {
     let mut sim = FleetSim::new(plan);
     sim.push(1, SimEvent::Tick);
     sim.push(2, SimEvent::Arrival);
     let end_us = plan.length_ms * 1_000;
-    while let Some(Reverse((at, _, event))) = sim.queue.pop() {
-        if at > end_us {
+    while let Some(Reverse((due_us, _, event))) = sim.queue.pop() {
+        if due_us > end_us {
             break;
         }
-        sim.now_us = at;
-        sim.happen(event);
+        sim.now_us = due_us;
+        sim.handle_event(event);
     }
     sim.finish()
 }
 
 impl FleetSim {
     fn new(plan: RunPlan) -> Self {
-        let (halls, workers) = plan.operator.size();
+        let (halls, workers) = plan.operator.halls_and_workers();
         let cpu = plan.operator.cpu_millis();
         let entries: Vec<_> = (0..workers)
             .map(|number| {
-                entry(
+                worker_entry(
                     number,
                     halls,
                     cpu,
@@ -188,53 +192,54 @@
             service: number / halls % SERVICES.len(),
             hall: number % halls,
             alive: true,
-            life: 0,
-            busy: 0,
-            busy_mean: 0.0,
+            incarnation: 0,
+            busy_slots: 0,
+            mean_busy_slots: 0.0,
             slowdown: 0.0,
-            open: Vec::new(),
+            in_flight: Vec::new(),
         });
         let servers: Vec<SimServer> = servers.collect();
-        let mut batch = BatchSide::new(entries, plan.operator.weights(), &plan.policy, plan.seed);
+        let mut batch =
+            BatchSimulation::new(entries, plan.operator.weights(), &plan.policy, plan.seed);
         if plan.policy.oracle {
-            batch.teach(&oracle_samples());
+            batch.learn_samples(&oracle_samples());
         }
-        let hosts = (0..HOSTS).map(|number| make_host(&plan, number, halls, &servers));
+        let hosts = (0..ENTRY_HOSTS).map(|number| make_host(&plan, number, halls, &servers));
         let hosts: Vec<RouteCore> = hosts.collect();
         Self {
             plan,
             now_us: 0,
-            order: 0,
+            event_count: 0,
             queue: BinaryHeap::new(),
-            source: ChaCha8Rng::seed_from_u64(plan.seed),
+            rng: ChaCha8Rng::seed_from_u64(plan.seed),
             host_alive: vec![true; hosts.len()],
             hosts,
             servers,
             requests: HashMap::new(),
             windows: BTreeMap::new(),
-            late: Vec::new(),
-            meter: SlowdownMeter::default(),
+            delayed_samples: Vec::new(),
+            slowdown_meter: SlowdownMeter::default(),
             batch,
             result: RunResult {
-                latency: Histogram::new(3).expect("three digits are allowed"),
+                latency: Histogram::new(3).expect("three significant digits are supported"),
                 arrived: 0,
-                good: 0,
-                refused: 0,
-                unknown: 0,
+                within_deadline: 0,
+                not_run: 0,
+                may_have_run: 0,
                 batch_s: 0,
                 evictions: 0,
                 wasted_s: 0,
                 urgent_ms: 0,
             },
             next_request: 0,
-            urgent: Vec::new(),
+            waiting_urgent: Vec::new(),
             urgent_count: 0,
-            happened: false,
-            listed_at: None,
-            work_before: 0,
-            evictions_before: 0,
-            wasted_before: 0,
-            warm: false,
+            scenario_applied: false,
+            loss_listed_at: None,
+            warm_up_progress_ms: 0,
+            warm_up_evictions: 0,
+            warm_up_wasted_ms: 0,
+            warmed_up: false,
         }
     }
 
@@ -242,30 +247,30 @@
         self.now_us / 1_000 + 1
     }
 
-    fn part(&self) -> f64 {
+    fn elapsed_fraction(&self) -> f64 {
         self.now_us as f64 / (self.plan.length_ms * 1_000) as f64
     }
 
-    fn push(&mut self, at: u64, event: SimEvent) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, event)));
+    fn push(&mut self, due_us: u64, event: SimEvent) {
+        self.event_count += 1;
+        self.queue.push(Reverse((due_us, self.event_count, event)));
     }
 
-    fn happen(&mut self, event: SimEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
-            SimEvent::Arrival => self.arrive(),
+            SimEvent::Arrival => self.handle_arrival(),
             SimEvent::ServerStart {
                 host,
                 request,
                 server,
-            } => self.start(host, request, server),
+            } => self.handle_server_start(host, request, server),
             SimEvent::ServerDone {
                 host,
                 request,
                 server,
-                life,
-            } => self.done(host, request, server, life),
-            SimEvent::Ended { host, request, end } => self.end(host, request, end),
+                incarnation,
+            } => self.handle_server_done(host, request, server, incarnation),
+            SimEvent::Ended { host, request, end } => self.handle_attempt_end(host, request, end),
             SimEvent::Tick => self.tick(),
         }
     }
@@ -273,35 +278,35 @@
     fn tick(&mut self) {
         let now = self.now_ms();
         self.push(self.now_us + TICK_MS * 1_000, SimEvent::Tick);
-        self.begin(now);
-        self.let_things_happen(now);
+        self.update_phase(now);
+        self.apply_scenario(now);
         self.batch.tick(now);
         self.update_speeds();
-        for host in 0..HOSTS {
+        for host in 0..ENTRY_HOSTS {
             let actions = self.hosts[host].handle(now, RouteEvent::Tick);
-            self.act(host, actions);
+            self.apply_actions(host, actions);
         }
-        if now % JUDGE_MS < TICK_MS {
-            self.judge(now);
+        if now % LATENCY_WINDOW_MS < TICK_MS {
+            self.sample_slowdowns(now);
         }
-        if now % URGENT_EVERY_MS < TICK_MS {
-            self.declare_urgent(now);
+        if now % URGENT_INTERVAL_MS < TICK_MS {
+            self.declare_urgent_job(now);
         }
-        self.watch_urgent(now);
-        self.deliver_late(now);
+        self.check_urgent_starts(now);
+        self.deliver_due_samples(now);
     }
 
     fn finish(mut self) -> RunResult {
         let now = self.now_ms();
-        let waiting = self.urgent.iter().map(|(since, _)| now - since);
-        self.result.urgent_ms = waiting.fold(self.result.urgent_ms, Millis::max);
+        let waits = self.waiting_urgent.iter().map(|(since, _)| now - since);
+        self.result.urgent_ms = waits.fold(self.result.urgent_ms, Millis::max);
         self.result.batch_s = self
             .batch
             .total_progress_ms()
-            .saturating_sub(self.work_before)
+            .saturating_sub(self.warm_up_progress_ms)
             / 1_000;
-        self.result.evictions = self.batch.evictions - self.evictions_before;
-        self.result.wasted_s = (self.batch.total_wasted_ms() - self.wasted_before) / 1_000;
+        self.result.evictions = self.batch.evictions - self.warm_up_evictions;
+        self.result.wasted_s = (self.batch.total_wasted_ms() - self.warm_up_wasted_ms) / 1_000;
         self.result
     }
 }
@@ -316,12 +321,12 @@
 
 fn server_position(server: &ServerId) -> usize {
     let digits = server.as_str().trim_start_matches("server-");
-    digits.parse().expect("servers are numbered")
+    digits.parse().expect("server names end in a number")
 }
 
 fn server_number(worker: &WorkerId) -> usize {
     let digits = worker.as_str().trim_start_matches("w-");
-    digits.parse().expect("workers are numbered")
+    digits.parse().expect("worker names end in a number")
 }
 
 fn family_of(job: &JobId) -> &str {
@@ -337,7 +342,7 @@
     let hall = HallId::from(format!("hall-{}", number % halls));
     let limits = RouteLimits {
         queue: 400,
-        slots: SLOTS,
+        slots: SLOTS_PER_SERVER,
     };
     let mut core = RouteCore::new(host_id(number), hall, limits, plan.seed ^ number as u64);
     core.set_strategy(plan.policy.route);
@@ -345,7 +350,7 @@
         1,
         RouteEvent::FirstViewReceived {
             version: 1,
-            members: (0..HOSTS).map(host_id).collect(),
+            members: (0..ENTRY_HOSTS).map(host_id).collect(),
         },
     );
     let entries = servers.iter().enumerate().map(|(position, server)| {
@@ -360,7 +365,7 @@
     core
 }
 
-/// Measurements that say the hidden effects outright; for the oracle.
+/// Slowdown samples that state the true slowdowns directly, for the oracle policy.
 fn oracle_samples() -> Vec<SlowdownSample> {
     let mut samples = Vec::new();
     let families = FAMILIES.iter().chain(&["noisy"]);
@@ -371,7 +376,7 @@
                     service: ServiceId::from(*service),
                     families: vec![((*family).to_owned(), 1)],
                     band,
-                    slowdown: effect(position, family, band),
+                    slowdown: true_slowdown(position, family, band),
                     stamped_at: 0,
                 };
                 samples.extend(std::iter::repeat_n(sample, 40));
--- a/crates/bench/src/sim/requests.rs
+++ b/crates/bench/src/sim/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through entry hosts and servers.
+//! Simulates requests from their arrival at an entry host through backend servers to their end.
 
 use rand::RngExt;
 use sandshelf_model::{RunVerdict, ServerId, ServiceId};
@@ -6,26 +6,28 @@
 use sandshelf_route::{AttemptEnd, RequestInfo, RouteAction, RouteEvent};
 
 use super::{
-    server_position, FleetSim, SimEnd, SimEvent, SimRequest, DEADLINE_MS, HALL_US, HOSTS,
-    SERVICE_US, SLOTS,
+    server_position, FleetSim, SimEnd, SimEvent, SimRequest, ENTRY_HOSTS, INTER_HALL_US,
+    MEAN_SERVICE_US, REQUEST_DEADLINE_MS, SLOTS_PER_SERVER,
 };
-use crate::truth::{time_factor, SERVICES};
+use crate::ground_truth::{service_time_factor, SERVICES};
 
 impl FleetSim {
-    pub(super) fn arrive(&mut self) {
-        let slots = self.servers.len() as f64 * f64::from(SLOTS);
-        let load = self.plan.scenario.load(self.part());
-        let mean_gap = SERVICE_US / (slots * load);
-        let draw: f64 = self.source.random_range(1e-9..1.0);
-        let gap = (-draw.ln() * mean_gap).max(1.0) as u64;
-        self.push(self.now_us + gap, SimEvent::Arrival);
-        let alive: Vec<usize> = (0..HOSTS).filter(|host| self.host_alive[*host]).collect();
-        let host = alive[self.source.random_range(0..alive.len())];
-        let class = SERVICES[self.source.random_range(0..SERVICES.len())];
+    pub(super) fn handle_arrival(&mut self) {
+        let slots = self.servers.len() as f64 * f64::from(SLOTS_PER_SERVER);
+        let load = self.plan.scenario.load(self.elapsed_fraction());
+        let mean_gap_us = MEAN_SERVICE_US / (slots * load);
+        let draw: f64 = self.rng.random_range(1e-9..1.0);
+        let gap_us = (-draw.ln() * mean_gap_us).max(1.0) as u64;
+        self.push(self.now_us + gap_us, SimEvent::Arrival);
+        let alive: Vec<usize> = (0..ENTRY_HOSTS)
+            .filter(|host| self.host_alive[*host])
+            .collect();
+        let host = alive[self.rng.random_range(0..alive.len())];
+        let service = SERVICES[self.rng.random_range(0..SERVICES.len())];
         self.next_request += 1;
         let number = self.next_request;
         let now = self.now_ms();
-        let measured = self.warm;
+        let measured = self.warmed_up;
         self.result.arrived += u64::from(measured);
         self.requests.insert(
             number,
@@ -35,12 +37,12 @@
                 measured,
             },
         );
-        let info = RequestInfo::plain(number, class, now + DEADLINE_MS);
+        let info = RequestInfo::plain(number, service, now + REQUEST_DEADLINE_MS);
         let actions = self.hosts[host].handle(now, RouteEvent::Arrived(info));
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
-    pub(super) fn act(&mut self, host: usize, actions: Vec<RouteAction>) {
+    pub(super) fn apply_actions(&mut self, host: usize, actions: Vec<RouteAction>) {
         for action in actions {
             match action {
                 RouteAction::Dispatch {
@@ -56,57 +58,65 @@
 
     fn dispatch(&mut self, host: usize, request: u64, server: &ServerId) {
         let position = server_position(server);
-        let halls = self.plan.operator.size().0;
-        let far = self.servers[position].hall != host % halls;
-        let way = if far { HALL_US } else { 50 };
-        if let Some(known) = self.requests.get_mut(&request) {
-            known.sent_us = self.now_us;
+        let halls = self.plan.operator.halls_and_workers().0;
+        let crosses_halls = self.servers[position].hall != host % halls;
+        let latency_us = if crosses_halls { INTER_HALL_US } else { 50 };
+        if let Some(sim_request) = self.requests.get_mut(&request) {
+            sim_request.sent_us = self.now_us;
         }
         let event = SimEvent::ServerStart {
             host,
             request,
             server: position,
         };
-        self.push(self.now_us + way, event);
+        self.push(self.now_us + latency_us, event);
     }
 
-    pub(super) fn start(&mut self, host: usize, request: u64, server: usize) {
+    pub(super) fn handle_server_start(&mut self, host: usize, request: u64, server: usize) {
         if !self.servers[server].alive {
-            // A connection that nobody accepts: nothing was sent.
+            // The connection is not accepted, so the request was not sent.
             let end = SimEnd::NotRun;
             self.push(self.now_us + 5_000, SimEvent::Ended { host, request, end });
             return;
         }
-        let factor = time_factor(&mut self.source);
-        let slow = 1.0 + self.servers[server].slowdown;
-        let length = (SERVICE_US * factor * slow) as u64;
-        let there = &mut self.servers[server];
-        there.busy += 1;
-        there.open.push((host, request));
-        let life = there.life;
+        let factor = service_time_factor(&mut self.rng);
+        let slowdown_factor = 1.0 + self.servers[server].slowdown;
+        let duration_us = (MEAN_SERVICE_US * factor * slowdown_factor) as u64;
+        let target = &mut self.servers[server];
+        target.busy_slots += 1;
+        target.in_flight.push((host, request));
+        let incarnation = target.incarnation;
         let event = SimEvent::ServerDone {
             host,
             request,
             server,
-            life,
+            incarnation,
         };
-        self.push(self.now_us + length, event);
+        self.push(self.now_us + duration_us, event);
     }
 
-    pub(super) fn done(&mut self, host: usize, request: u64, server: usize, life: u32) {
-        let there = &mut self.servers[server];
-        if there.life != life {
+    pub(super) fn handle_server_done(
+        &mut self,
+        host: usize,
+        request: u64,
+        server: usize,
+        incarnation: u32,
+    ) {
+        let target = &mut self.servers[server];
+        if target.incarnation != incarnation {
             return;
         }
-        there.busy -= 1;
-        there.open.retain(|open| *open != (host, request));
-        let halls = self.plan.operator.size().0;
-        let far = there.hall != host % halls;
-        let way = if far { HALL_US } else { 50 };
-        let service = there.service;
-        let worker = there.worker.clone();
-        if let Some(known) = self.requests.get(&request) {
-            let taken = (self.now_us + way - known.sent_us) / 1_000;
+        target.busy_slots -= 1;
+        target
+            .in_flight
+            .retain(|attempt| *attempt != (host, request));
+        let halls = self.plan.operator.halls_and_workers().0;
+        let crosses_halls = target.hall != host % halls;
+        let latency_us = if crosses_halls { INTER_HALL_US } else { 50 };
+        let service = target.service;
+        let worker = target.worker.clone();
+        if let Some(sim_request) = self.requests.get(&request) {
+            let latency_ms = (self.now_us + latency_us - sim_request.sent_us) / 1_000;
             let window = self.windows.entry(worker.clone()).or_insert(LatencyWindow {
                 service: ServiceId::from(SERVICES[service]),
                 worker,
@@ -114,51 +124,54 @@
                 total_ms: 0,
             });
             window.count += 1;
-            window.total_ms += taken;
+            window.total_ms += latency_ms;
         }
         let end = SimEnd::Answered;
-        self.push(self.now_us + way, SimEvent::Ended { host, request, end });
+        self.push(
+            self.now_us + latency_us,
+            SimEvent::Ended { host, request, end },
+        );
     }
 
-    pub(super) fn end(&mut self, host: usize, request: u64, end: SimEnd) {
-        let Some(known) = self.requests.get(&request) else {
+    pub(super) fn handle_attempt_end(&mut self, host: usize, request: u64, end: SimEnd) {
+        let Some(sim_request) = self.requests.get(&request) else {
             return;
         };
         let end = match end {
             SimEnd::Answered => AttemptEnd::Answered {
-                latency_ms: (self.now_us - known.sent_us) / 1_000,
+                latency_ms: (self.now_us - sim_request.sent_us) / 1_000,
             },
             SimEnd::NotRun => AttemptEnd::NotRun,
             SimEnd::MayHaveRun => AttemptEnd::MayHaveRun,
         };
         let now = self.now_ms();
         let actions = self.hosts[host].handle(now, RouteEvent::Ended { request, end });
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
     fn deliver(&mut self, request: u64) {
-        let Some(known) = self.requests.remove(&request) else {
+        let Some(sim_request) = self.requests.remove(&request) else {
             return;
         };
-        if !known.measured {
+        if !sim_request.measured {
             return;
         }
-        let latency = self.now_us - known.arrived_us;
+        let latency_us = self.now_us - sim_request.arrived_us;
         self.result
             .latency
-            .record(latency)
-            .expect("the histogram grows");
-        self.result.good += u64::from(latency <= DEADLINE_MS * 1_000);
+            .record(latency_us)
+            .expect("the histogram resizes automatically");
+        self.result.within_deadline += u64::from(latency_us <= REQUEST_DEADLINE_MS * 1_000);
     }
 
     fn give_up(&mut self, request: u64, verdict: RunVerdict) {
-        let Some(known) = self.requests.remove(&request) else {
+        let Some(sim_request) = self.requests.remove(&request) else {
             return;
         };
-        if known.measured {
+        if sim_request.measured {
             match verdict {
-                RunVerdict::NotRun => self.result.refused += 1,
-                RunVerdict::Ran | RunVerdict::MayHaveRun => self.result.unknown += 1,
+                RunVerdict::NotRun => self.result.not_run += 1,
+                RunVerdict::Ran | RunVerdict::MayHaveRun => self.result.may_have_run += 1,
             }
         }
     }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,6 +1,6 @@
-//! Slopes towards the planned size: processor time, memory and bytes for each worker, task, server and host.
+//! Measures how costs scale towards the planned fleet size: CPU time, memory and bytes per worker, task, server and host.
 //!
-//! Each figure is taken at several sizes in one run; what counts is how it grows.
+//! Each cost is measured at several fleet sizes in one run. Its growth with the size is what matters.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -26,54 +26,54 @@
     AttemptEnd, RequestInfo, RouteAction, RouteCore, RouteEvent, RouteLimits, ServerEntry,
 };
 
-use crate::control::{entry, job};
+use crate::batch::{job_spec, worker_entry};
 
-/// Sizes of fleets.
-pub const SIZES: [usize; 4] = [50, 500, 2_000, 17_000];
-/// Tasks on each worker, about as planned: 190,000 on 17,000.
+/// Measured fleet sizes, in workers.
+pub const FLEET_SIZES: [usize; 4] = [50, 500, 2_000, 17_000];
+/// Tasks per worker, about the planned ratio of 190,000 tasks on 17,000 workers.
 const TASKS_PER_WORKER: usize = 11;
-/// Virtual time of the steady state that is measured.
+/// Virtual time over which the steady state is measured.
 const STEADY_MS: Millis = 20_000;
-/// Decisions timed at a time.
-const DECISIONS: usize = 20_000;
+/// Number of decisions in one timing. Placement makes at most eight per worker.
+const TIMED_DECISIONS: usize = 20_000;
 
-/// One size's figures of a shard owner.
+/// Costs of a shard owner at one fleet size. Rates are per second of virtual time.
 #[derive(Clone, Debug)]
-pub struct OwnerSlope {
-    /// Workers of the shard.
+pub struct OwnerCosts {
+    /// Number of workers in the shard.
     pub workers: usize,
-    /// Processor time for each second of virtual time, in milliseconds.
+    /// CPU time per second of virtual time, in milliseconds.
     pub cpu_ms_per_s: f64,
-    /// Messages to workers for each second.
+    /// Messages to workers per second.
     pub messages_per_s: f64,
-    /// Bytes of orders and reports for each second, as JSON.
+    /// Bytes of orders and reports per second, encoded as JSON.
     pub worker_bytes_per_s: f64,
-    /// Store writes for each second.
+    /// Store writes per second.
     pub writes_per_s: f64,
-    /// Bytes written to the store for each second.
+    /// Bytes written to the store per second, without snapshots.
     pub store_bytes_per_s: f64,
-    /// Starts for each second.
+    /// Task starts per second.
     pub starts_per_s: f64,
-    /// Resident memory that the owner took, in bytes for each worker.
+    /// Growth of the process's resident memory from the owner's setup to the steady state, in bytes per worker.
     pub bytes_per_worker: f64,
-    /// Bytes of a snapshot for each task.
-    pub snapshot_per_task: f64,
-    /// Processor time of a takeover, in milliseconds.
+    /// Size of an encoded snapshot, in bytes per task.
+    pub snapshot_bytes_per_task: f64,
+    /// CPU time of the new owner during a takeover of the shard, in milliseconds.
     pub takeover_ms: f64,
 }
 
 fn resident_bytes() -> f64 {
-    const PAGE: f64 = 4_096.0;
+    const PAGE_BYTES: f64 = 4_096.0;
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
     pages
         .and_then(|pages| pages.parse::<f64>().ok())
         .unwrap_or(0.0)
-        * PAGE
+        * PAGE_BYTES
 }
 
-/// A shard's owner over fakes that answer within the same virtual millisecond.
-struct OwnerRig {
+/// A shard's owner with a fake store and fake workers that answer within the same virtual millisecond.
+struct OwnerHarness {
     owner: ShardOwner,
     store: FakeStore,
     workers: Vec<FakeWorker>,
@@ -84,7 +84,7 @@
     owner_ns: u128,
 }
 
-impl OwnerRig {
+impl OwnerHarness {
     fn new(count: usize) -> Self {
         let shard = ShardId::from("shard-0");
         let owner = ShardOwner::new(
@@ -94,7 +94,7 @@
             1,
         );
         let workers = (0..count).map(|number| {
-            let entry = entry(number, 1, 24_000, "pricing");
+            let entry = worker_entry(number, 1, 24_000, "pricing");
             FakeWorker::new(entry.worker, entry.capacity)
         });
         Self {
@@ -109,32 +109,32 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn configure(&mut self) {
         let count = self.workers.len();
-        let present = (0..count).map(|number| entry(number, 1, 24_000, "pricing"));
+        let present = (0..count).map(|number| worker_entry(number, 1, 24_000, "pricing"));
         let event = ShardEvent::WorkersListed {
             present: present.collect(),
             leaving: BTreeSet::new(),
             gone: BTreeSet::new(),
         };
         self.feed(event);
-        let huge = ResourceSize::new(1 << 40, 1 << 40, 0);
+        let unlimited = ResourceSize::new(1 << 40, 1 << 40, 0);
         let team = TeamId::from("team");
         self.feed(ShardEvent::QuotaSliceUpdated {
             team: team.clone(),
-            slice: huge,
+            slice: unlimited,
         });
-        // 190,000 running tasks and 240,000 jobs a day make a task run for about a quarter of an hour;
-        // here one in eight is short, which gives the planned 1,200 starts a second at 17,000 workers.
+        // With 190,000 running tasks and 240,000 jobs a day, a task runs for about a quarter of an hour.
+        // Here one running task in eight is short, which gives the planned 1,200 starts per second at 17,000 workers.
         let tasks = (count * TASKS_PER_WORKER) as u32;
         let set = ConfigSet {
             jobs: vec![
-                job("long", "long", tasks * 7 / 8, 1_500, 900_000),
-                job("short", "short", tasks * 4, 1_500, 18_000),
+                job_spec("long", "long", tasks * 7 / 8, 1_500, 900_000),
+                job_spec("short", "short", tasks * 4, 1_500, 18_000),
             ],
             teams: vec![TeamQuota {
                 name: team,
-                quota: huge,
+                quota: unlimited,
             }],
             ..ConfigSet::default()
         };
@@ -161,11 +161,13 @@
         let ShardAction::SendOrders { worker, orders } = action else {
             return self.serve_store(&action);
         };
-        let number: usize = worker.as_str()[2..].parse().expect("workers are numbered");
+        let number: usize = worker.as_str()[2..]
+            .parse()
+            .expect("worker names end in a number");
         let report = self.workers[number].handle(self.now, &orders);
-        let sent = serde_json::to_vec(&orders).map_or(0, |text| text.len());
-        let answered = serde_json::to_vec(&report).map_or(0, |text| text.len());
-        self.worker_bytes += (sent + answered) as u64;
+        let order_bytes = serde_json::to_vec(&orders).map_or(0, |text| text.len());
+        let report_bytes = serde_json::to_vec(&report).map_or(0, |text| text.len());
+        self.worker_bytes += (order_bytes + report_bytes) as u64;
         Some(ShardEvent::WorkerAnswered {
             worker,
             epoch: orders.epoch,
@@ -174,7 +176,9 @@
         })
     }
 
-    /// Counts what is written; snapshots and the inbox are left out, as they would hide the steady state.
+    /// Counts the bytes of commits and returns the store's answer.
+    ///
+    /// Snapshot writes and inbox reads are neither counted nor answered, because they would hide the steady state.
     fn serve_store(&mut self, action: &ShardAction) -> Option<ShardEvent> {
         match action {
             ShardAction::StoreSnapshot { .. } | ShardAction::ReadInbox { .. } => return None,
@@ -196,69 +200,75 @@
     }
 }
 
-/// Measures a shard owner at one size.
-pub fn owner_slope(workers: usize) -> OwnerSlope {
-    let mut rig = OwnerRig::new(workers);
-    let fakes = resident_bytes();
-    rig.begin();
-    rig.run_until(40_000);
-    let after = resident_bytes();
-    let (messages, writes) = (rig.owner.counts().messages, rig.store.table.commits);
-    let placed = rig.owner.state().stats.placed;
-    (rig.worker_bytes, rig.store_bytes, rig.owner_ns) = (0, 0, 0);
-    let from = rig.now;
-    rig.run_until(from + STEADY_MS);
-    let seconds = (rig.now - from) as f64 / 1_000.0;
-    let tasks: usize = rig
+/// Measures a shard owner in the steady state and in a takeover, with a fleet of `workers` workers.
+pub fn measure_owner(workers: usize) -> OwnerCosts {
+    let mut harness = OwnerHarness::new(workers);
+    let memory_before = resident_bytes();
+    harness.configure();
+    harness.run_until(40_000);
+    let memory_after = resident_bytes();
+    let (messages_before, commits_before) =
+        (harness.owner.counts().messages, harness.store.table.commits);
+    let placed_before = harness.owner.state().stats.placed;
+    (harness.worker_bytes, harness.store_bytes, harness.owner_ns) = (0, 0, 0);
+    let from = harness.now;
+    harness.run_until(from + STEADY_MS);
+    let seconds = (harness.now - from) as f64 / 1_000.0;
+    let tasks: usize = harness
         .owner
         .state()
         .jobs
         .values()
         .map(|job| job.tasks.len())
         .sum();
-    let snapshot = encode_snapshot(rig.owner.state());
-    let starts = rig.owner.state().stats.placed - placed;
-    let steady_ns = rig.owner_ns;
-    let counts = *rig.owner.counts();
-    let (worker_bytes, store_bytes, commits) =
-        (rig.worker_bytes, rig.store_bytes, rig.store.table.commits);
-    let takeover_ms = takeover(&mut rig);
-    OwnerSlope {
+    let snapshot = encode_snapshot(harness.owner.state());
+    let starts = harness.owner.state().stats.placed - placed_before;
+    let steady_ns = harness.owner_ns;
+    let counts = *harness.owner.counts();
+    let (worker_bytes, store_bytes, commits) = (
+        harness.worker_bytes,
+        harness.store_bytes,
+        harness.store.table.commits,
+    );
+    let takeover_ms = take_over(&mut harness);
+    OwnerCosts {
         workers,
         cpu_ms_per_s: steady_ns as f64 / 1e6 / seconds,
-        messages_per_s: (counts.messages - messages) as f64 / seconds,
+        messages_per_s: (counts.messages - messages_before) as f64 / seconds,
         worker_bytes_per_s: worker_bytes as f64 / seconds,
-        writes_per_s: (commits - writes) as f64 / seconds,
+        writes_per_s: (commits - commits_before) as f64 / seconds,
         store_bytes_per_s: store_bytes as f64 / seconds,
         starts_per_s: starts as f64 / seconds,
-        bytes_per_worker: (after - fakes).max(0.0) / workers as f64,
-        snapshot_per_task: snapshot.len() as f64 / tasks.max(1) as f64,
+        bytes_per_worker: (memory_after - memory_before).max(0.0) / workers as f64,
+        snapshot_bytes_per_task: snapshot.len() as f64 / tasks.max(1) as f64,
         takeover_ms,
     }
 }
 
-/// Has a second owner take the shard over; returns its processor time until it holds it.
-fn takeover(rig: &mut OwnerRig) -> f64 {
+/// Lets a second owner take over the shard and returns its CPU time until it owns the shard, in milliseconds.
+///
+/// Gives up after 10 s of virtual time and then returns the CPU time used so far.
+fn take_over(harness: &mut OwnerHarness) -> f64 {
     let host = HostId::from("entry-2.1");
-    rig.owner = ShardOwner::new(rig.shard.clone(), host, LeaseTimes::default(), 2);
-    rig.owner_ns = 0;
-    let from = rig.now;
-    while !rig.owner.is_owner(rig.now) && rig.now < from + 10_000 {
-        rig.run_until(rig.now + 100);
+    harness.owner = ShardOwner::new(harness.shard.clone(), host, LeaseTimes::default(), 2);
+    harness.owner_ns = 0;
+    let from = harness.now;
+    while !harness.owner.is_owner(harness.now) && harness.now < from + 10_000 {
+        harness.run_until(harness.now + 100);
     }
-    rig.owner_ns as f64 / 1e6
+    harness.owner_ns as f64 / 1e6
 }
 
-/// Time of one placement decision and its reservation, in nanoseconds.
+/// Mean time of one placement decision with its reservation, in nanoseconds.
 pub fn placement_ns(workers: usize) -> f64 {
     let mut pool = WorkerPool::new(1, Default::default());
     for number in 0..workers {
-        let entry = entry(number, 15, 24_000, "pricing");
+        let entry = worker_entry(number, 15, 24_000, "pricing");
         pool.upsert(&entry);
         pool.set_open(&entry.worker, true);
     }
     let need = TaskNeed::plain(ResourceSize::new(1_500, 1_000, 0), "long");
-    let rounds = DECISIONS.min(workers * 8);
+    let rounds = TIMED_DECISIONS.min(workers * 8);
     let began = Instant::now();
     let mut placed: Vec<(WorkerId, AttemptId)> = Vec::new();
     for number in 0..rounds {
@@ -283,12 +293,12 @@
             }
         }
     }
-    let taken = began.elapsed().as_nanos() as f64;
+    let elapsed_ns = began.elapsed().as_nanos() as f64;
     black_box(placed.len());
-    taken / rounds as f64
+    elapsed_ns / rounds as f64
 }
 
-/// Time of one routing decision with its end, in nanoseconds.
+/// Mean time of one routing decision, including the handling of the attempt's end, in nanoseconds.
 pub fn routing_ns(servers: usize) -> f64 {
     let host = HostId::from("entry-1.1");
     let mut core = RouteCore::new(
@@ -309,28 +319,29 @@
         ServerEntry::plain(&format!("server-{number}"), "pricing", &hall)
     });
     core.handle(1, RouteEvent::ServersListed(entries.collect()));
-    let mut source = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     let began = Instant::now();
-    let mut open: Vec<u64> = Vec::new();
-    for number in 0..DECISIONS as u64 {
+    let mut in_flight: Vec<u64> = Vec::new();
+    for number in 0..TIMED_DECISIONS as u64 {
         let info = RequestInfo::plain(number, "pricing", 10_000);
         let actions = core.handle(2, RouteEvent::Arrived(info));
         if matches!(actions.first(), Some(RouteAction::Dispatch { .. })) {
-            open.push(number);
+            in_flight.push(number);
         }
-        if open.len() > servers {
-            let position = source.random_range(0..open.len());
-            let request = open.swap_remove(position);
+        if in_flight.len() > servers {
+            let position = rng.random_range(0..in_flight.len());
+            let request = in_flight.swap_remove(position);
             let end = AttemptEnd::Answered { latency_ms: 5 };
             core.handle(2, RouteEvent::Ended { request, end });
         }
     }
-    began.elapsed().as_nanos() as f64 / DECISIONS as f64
+    began.elapsed().as_nanos() as f64 / TIMED_DECISIONS as f64
 }
 
-/// Processor time to take in one configuration change, in milliseconds, and the set's bytes, with so many jobs.
+/// Time to parse a configuration set with `jobs` jobs and find the home shard of each task, in milliseconds, and the size of the set in bytes.
 pub fn configuration_cost(jobs: usize, shards: usize) -> (f64, usize) {
-    let specs = (0..jobs).map(|number| job(&format!("job-{number}"), "family", 4, 1_000, 60_000));
+    let specs =
+        (0..jobs).map(|number| job_spec(&format!("job-{number}"), "family", 4, 1_000, 60_000));
     let set = ConfigSet {
         jobs: specs.collect(),
         ..ConfigSet::default()
@@ -340,18 +351,21 @@
         .map(|number| ShardId::from(format!("shard-{number}")))
         .collect();
     let began = Instant::now();
-    let read = ConfigSet::from_bytes(&bytes).expect("it was just written");
-    let mut own = 0;
-    for spec in &read.jobs {
+    let parsed = ConfigSet::from_bytes(&bytes).expect("the set was just serialized");
+    let mut own_tasks = 0;
+    for spec in &parsed.jobs {
         for index in 0..spec.tasks {
-            own += usize::from(home_shard(&spec.name, index, &ids) == Some(&ids[0]));
+            own_tasks += usize::from(home_shard(&spec.name, index, &ids) == Some(&ids[0]));
         }
     }
-    black_box(own);
+    black_box(own_tasks);
     (began.elapsed().as_secs_f64() * 1_000.0, bytes.len())
 }
 
-/// Bytes of one host's news with so many rooms, leaving servers and latency windows.
+/// Encoded size of the news that one host sends to its peers, in bytes.
+///
+/// `rooms` is the number of shards whose free capacity is reported, `leaving` the number of leaving servers,
+/// `windows` the number of latency windows.
 pub fn news_bytes(rooms: usize, leaving: usize, windows: usize) -> usize {
     let mut news = HostNews::silent(HostId::from("entry-1.0123456789abcdef"));
     news.digest = "0".repeat(64);
@@ -376,24 +390,24 @@
     news.encoded_len()
 }
 
-/// Prints every slope as Markdown tables.
+/// Prints the scaling measurements as Markdown tables.
 pub fn print_slopes() {
     println!("| workers in one shard | cpu ms per s | messages/s | worker KB/s | store writes/s | store KB/s | starts/s | KB per worker | snapshot B per task | takeover cpu ms |");
     println!("|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|");
-    for workers in SIZES {
-        let slope = owner_slope(workers);
+    for workers in FLEET_SIZES {
+        let costs = measure_owner(workers);
         println!(
             "| {} | {:.2} | {:.0} | {:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} | {:.1} |",
-            slope.workers,
-            slope.cpu_ms_per_s,
-            slope.messages_per_s,
-            slope.worker_bytes_per_s / 1_024.0,
-            slope.writes_per_s,
-            slope.store_bytes_per_s / 1_024.0,
-            slope.starts_per_s,
-            slope.bytes_per_worker / 1_024.0,
-            slope.snapshot_per_task,
-            slope.takeover_ms
+            costs.workers,
+            costs.cpu_ms_per_s,
+            costs.messages_per_s,
+            costs.worker_bytes_per_s / 1_024.0,
+            costs.writes_per_s,
+            costs.store_bytes_per_s / 1_024.0,
+            costs.starts_per_s,
+            costs.bytes_per_worker / 1_024.0,
+            costs.snapshot_bytes_per_task,
+            costs.takeover_ms
         );
     }
     println!("\n| rooms | leaving servers | latency windows | bytes of one host's news |");
@@ -412,12 +426,12 @@
     println!("\n| jobs in the set | cpu ms to take in one change (40 shards) | set KB |");
     println!("|--:|--:|--:|");
     for jobs in [1_000, 10_000, 50_000] {
-        let (taken, bytes) = configuration_cost(jobs, 40);
-        println!("| {jobs} | {taken:.0} | {} |", bytes / 1_024);
+        let (elapsed_ms, bytes) = configuration_cost(jobs, 40);
+        println!("| {jobs} | {elapsed_ms:.0} | {} |", bytes / 1_024);
     }
 }
 
-/// Prints what decisions cost.
+/// Prints the time of placement and routing decisions as a Markdown table.
 pub fn print_costs() {
     println!("| workers or servers | placement us | routing us |");
     println!("|--:|--:|--:|");
--- a/crates/bench/src/wire.rs
+++ b/crates/bench/src/wire.rs
@@ -1,4 +1,4 @@
-//! What one entry host adds over calling a backend server directly, as real processes over loopback.
+//! Measures the latency that one entry host adds to direct calls of a backend server, with real processes over loopback.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,22 +8,25 @@
 use hdrhistogram::Histogram;
 use sandshelf_standin::harness::{wait_until, LocalSystem};
 
-/// How long each figure is taken.
-const MEASURE: Duration = Duration::from_secs(4);
-/// What a request takes at the backend server, in milliseconds.
+/// Duration of each measurement.
+const MEASURE_DURATION: Duration = Duration::from_secs(4);
+/// Service time of a request at the backend server.
 const SERVICE_MS: u64 = 5;
 
-const SET: &str = r#"{ "services": [ { "name": "pricing", "repeatable": true, "deadline_ms": 5000,
+const CONFIG_SET: &str = r#"{ "services": [ { "name": "pricing", "repeatable": true, "deadline_ms": 5000,
     "tail_target_ms": 50, "replicas": 4, "cpu_millis": 1000, "memory_mib": 1000 } ] }"#;
 
-/// What some open callers saw.
-struct WireFigure {
+/// Results of one measurement. The latency is in microseconds; `requests` counts only successful requests.
+struct WireStats {
     latency: Histogram<u64>,
     requests: u64,
     failed: u64,
 }
 
-/// Starts a system and prints the comparison.
+/// Starts a local system and prints a comparison of direct calls with calls through an entry host.
+///
+/// # Errors
+/// The async runtime can't be started.
 pub fn print_wire() -> Result<(), String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     runtime.block_on(run());
@@ -36,11 +39,11 @@
         system.add_worker(&format!("w-{number}"), "north", "pricing", SERVICE_MS);
     }
     system.add_host("entry-1", "north", "");
-    let set = system.write_set("wire", SET);
+    let set = system.write_set("wire", CONFIG_SET);
     system.command(&["apply", &set.display().to_string(), "--wait", "20"]);
     system.wait_ready().await;
     let host = &system.hosts["entry-1"];
-    let shared = || async {
+    let all_slots_shared = || async {
         let status = system.get(host.operator, "/status").await?;
         let servers = status["servers"].as_array()?.clone();
         let sum: u64 = servers
@@ -49,7 +52,7 @@
             .sum();
         (sum == 32).then_some(())
     };
-    wait_until("all slots are shared", shared).await;
+    wait_until("all slots are shared", all_slots_shared).await;
     let backends: Vec<SocketAddr> = system
         .workers
         .values()
@@ -59,12 +62,12 @@
     println!("|--:|---|--:|--:|--:|--:|--:|");
     for callers in [1, 16, 24] {
         let direct = measure(callers, backends.clone()).await;
-        show(callers, "direct", &direct, None);
+        print_row(callers, "direct", &direct, None);
         let through = measure(callers, vec![host.caller]).await;
-        show(callers, "entry host", &through, Some(host.process.id()));
-        let ratio = |of: f64| {
-            through.latency.value_at_quantile(of) as f64
-                / direct.latency.value_at_quantile(of) as f64
+        print_row(callers, "entry host", &through, Some(host.process.id()));
+        let ratio = |quantile: f64| {
+            through.latency.value_at_quantile(quantile) as f64
+                / direct.latency.value_at_quantile(quantile) as f64
         };
         println!(
             "| {callers} | ratio | | {:.2} | {:.2} | | |",
@@ -74,18 +77,18 @@
     }
     for callers in [100, 1_000] {
         let through = measure(callers, vec![host.caller]).await;
-        show(callers, "entry host", &through, Some(host.process.id()));
+        print_row(callers, "entry host", &through, Some(host.process.id()));
     }
 }
 
-fn show(callers: usize, way: &str, figure: &WireFigure, process: Option<u32>) {
+fn print_row(callers: usize, path: &str, stats: &WireStats, process: Option<u32>) {
     let memory = process.map_or(String::new(), |id| format!("{:.0}", resident_mib(id)));
     println!(
-        "| {callers} | {way} | {:.0} | {} | {} | {} | {memory} |",
-        figure.requests as f64 / MEASURE.as_secs_f64(),
-        figure.latency.value_at_quantile(0.5),
-        figure.latency.value_at_quantile(0.99),
-        figure.failed
+        "| {callers} | {path} | {:.0} | {} | {} | {} | {memory} |",
+        stats.requests as f64 / MEASURE_DURATION.as_secs_f64(),
+        stats.latency.value_at_quantile(0.5),
+        stats.latency.value_at_quantile(0.99),
+        stats.failed
     );
 }
 
@@ -98,11 +101,11 @@
         / 256.0
 }
 
-/// Keeps so many callers open for a while, each with one request at a time.
-async fn measure(callers: usize, targets: Vec<SocketAddr>) -> WireFigure {
+/// Runs `callers` concurrent callers for [`MEASURE_DURATION`], each with one request at a time, spread evenly over `targets`.
+async fn measure(callers: usize, targets: Vec<SocketAddr>) -> WireStats {
     let client = reqwest::Client::new();
     let failed = Arc::new(AtomicU64::new(0));
-    let until = Instant::now() + MEASURE;
+    let deadline = Instant::now() + MEASURE_DURATION;
     let mut tasks = Vec::new();
     for number in 0..callers {
         let client = client.clone();
@@ -113,14 +116,14 @@
         );
         tasks.push(tokio::spawn(async move {
             let mut latencies = Vec::new();
-            while Instant::now() < until {
+            while Instant::now() < deadline {
                 let began = Instant::now();
-                let answer = client.get(&url).send().await;
-                let whole = match answer {
-                    Ok(answer) if answer.status() == 200 => answer.bytes().await.is_ok(),
+                let response = client.get(&url).send().await;
+                let complete = match response {
+                    Ok(response) if response.status() == 200 => response.bytes().await.is_ok(),
                     _ => false,
                 };
-                if whole {
+                if complete {
                     latencies.push(began.elapsed().as_micros() as u64);
                 } else {
                     failed.fetch_add(1, Ordering::Relaxed);
@@ -129,15 +132,17 @@
             latencies
         }));
     }
-    let mut latency = Histogram::new(3).expect("three digits are allowed");
+    let mut latency = Histogram::new(3).expect("three significant digits are supported");
     let mut requests = 0;
     for task in tasks {
-        for taken in task.await.unwrap_or_default() {
+        for latency_us in task.await.unwrap_or_default() {
             requests += 1;
-            latency.record(taken).expect("the histogram grows");
+            latency
+                .record(latency_us)
+                .expect("the histogram resizes automatically");
         }
     }
-    WireFigure {
+    WireStats {
         latency,
         requests,
         failed: failed.load(Ordering::Relaxed),
--- a/crates/bench/tests/policy_bounds.rs
+++ b/crates/bench/tests/policy_bounds.rs
@@ -1,31 +1,42 @@
-//! The deterministic policy runs, short ones, against bounds: a change that makes decisions worse fails here.
+//! Checks the results of short deterministic policy runs against bounds, so that a change that makes decisions worse fails.
 
 use sandshelf_bench::report::{measure, TableRow};
 use sandshelf_bench::scenario::{OperatorKind, ScenarioKind, POLICIES};
 use sandshelf_cases::cases;
 
-const LENGTH_MS: u64 = 40_000;
+const RUN_LENGTH_MS: u64 = 40_000;
 
 fn rows(operator: OperatorKind, scenario: ScenarioKind) -> Vec<TableRow> {
-    measure(&[operator], &[scenario], &POLICIES[..4], &[1], LENGTH_MS)
+    measure(
+        &[operator],
+        &[scenario],
+        &POLICIES[..4],
+        &[1],
+        RUN_LENGTH_MS,
+    )
 }
 
 fn row<'a>(rows: &'a [TableRow], policy: &str) -> &'a TableRow {
-    let found = rows.iter().find(|row| row.policy == policy);
-    found.expect("the policy was run")
+    let matching = rows.iter().find(|row| row.policy == policy);
+    matching.expect("the policy was run")
 }
 
-/// At the peak: the tail at most half of the better baseline's, no less batch work but for one percent, few evictions.
+/// Our policy has at most half of the p99 of the better baseline, at most one percent less batch work than the better
+/// baseline, and few evictions.
 fn beats_the_baselines(operator: OperatorKind, scenario: ScenarioKind) {
     let rows = rows(operator, scenario);
     let (random, turn) = (row(&rows, "random+first-fit"), row(&rows, "turn+best-fit"));
     let ours = row(&rows, "ours");
     let p99 = random.p99.min(turn.p99);
-    assert!(ours.p99 * 2.0 <= p99, "p99 {} against {p99}", ours.p99);
+    assert!(
+        ours.p99 * 2.0 <= p99,
+        "p99 {} ms, better baseline {p99} ms",
+        ours.p99
+    );
     let batch = random.batch_s.max(turn.batch_s);
     assert!(
         ours.batch_s >= batch * 0.98,
-        "batch {} against {batch}",
+        "batch work {} task s, better baseline {batch} task s",
         ours.batch_s
     );
     assert!(
@@ -35,18 +46,18 @@
     );
 }
 
-/// Requests that are not answered stay under a bound.
-fn answers_nearly_all(operator: OperatorKind, scenario: ScenarioKind, most_percent: f64) {
+/// Our policy leaves at most `max_lost_percent` of the requests unanswered.
+fn answers_nearly_all(operator: OperatorKind, scenario: ScenarioKind, max_lost_percent: f64) {
     let rows = rows(operator, scenario);
     let ours = row(&rows, "ours");
     assert!(
-        ours.lost_percent <= most_percent,
+        ours.lost_percent <= max_lost_percent,
         "{} % not answered",
         ours.lost_percent
     );
 }
 
-/// The same plan gives the same figures.
+/// Two runs with the same parameters and seed give the same results.
 fn repeats_exactly() {
     let first = rows(OperatorKind::Auction, ScenarioKind::NoisyWave);
     let second = rows(OperatorKind::Auction, ScenarioKind::NoisyWave);
