--- a/crates/bench/src/batch.rs
+++ b/crates/bench/src/batch.rs
@@ -35,7 +35,7 @@
     pub workers: BTreeMap<WorkerId, FakeWorker>,
     /// Location, capacity and service of each worker, including failed workers.
     pub entries: BTreeMap<WorkerId, WorkerEntry>,
-    /// Whether the store is unavailable, so that no call to it is answered.
+    /// Whether the store is unavailable, so that every call to it goes unanswered.
     pub store_down: bool,
     /// Work done by failed workers, in milliseconds at full speed.
     pub failed_workers_progress_ms: u64,
--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -81,6 +81,7 @@
     }
 }
 
+/// A simulated event. Hosts and servers are given by their positions.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     Arrival,
@@ -103,6 +104,7 @@
     Tick,
 }
 
+/// How an attempt of a request at a backend server ended.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEnd {
     Answered,
@@ -110,21 +112,28 @@
     MayHaveRun,
 }
 
+/// A backend server on its worker.
 struct SimServer {
     worker: WorkerId,
     service: usize,
     hall: usize,
     alive: bool,
+    /// Incremented when the server fails, so that completions from before the failure are ignored.
     incarnation: u32,
     busy_slots: u32,
+    /// Exponential moving average of `busy_slots`, updated every tick.
     mean_busy_slots: f64,
+    /// Current slowdown minus one.
     slowdown: f64,
+    /// Entry host and request of each running attempt.
     in_flight: Vec<(usize, u64)>,
 }
 
 struct SimRequest {
     arrived_us: u64,
+    /// When the last attempt was sent.
     sent_us: u64,
+    /// Whether the request arrived after the warm-up.
     measured: bool,
 }
 
@@ -141,16 +150,21 @@
     host_alive: Vec<bool>,
     servers: Vec<SimServer>,
     requests: HashMap<u64, SimRequest>,
+    /// Latencies per worker since the last slowdown samples were computed.
     windows: BTreeMap<WorkerId, LatencyWindow>,
+    /// Slowdown samples that have not been delivered, with their due times.
     delayed_samples: Vec<(Millis, WorkerId, SlowdownSample)>,
     slowdown_meter: SlowdownMeter,
     batch: BatchSimulation,
     result: RunResult,
     next_request: u64,
+    /// Urgent jobs that have not started, with the times of their declaration.
     waiting_urgent: Vec<(Millis, JobId)>,
     urgent_count: u32,
     scenario_applied: bool,
+    /// When failed workers are listed as gone; none if no listing is due.
     loss_listed_at: Option<Millis>,
+    /// Totals at the end of the warm-up, subtracted from the totals at the end of the run.
     warm_up_progress_ms: u64,
     warm_up_evictions: u64,
     warm_up_wasted_ms: u64,
--- a/crates/bench/tests/policy_bounds.rs
+++ b/crates/bench/tests/policy_bounds.rs
@@ -21,8 +21,7 @@
     matching.expect("the policy was run")
 }
 
-/// Our policy has at most half of the p99 of the better baseline, at most one percent less batch work than the better
-/// baseline, and few evictions.
+/// Compares our policy with the better baseline: at most half of its p99, at most one percent less batch work, few evictions.
 fn beats_the_baselines(operator: OperatorKind, scenario: ScenarioKind) {
     let rows = rows(operator, scenario);
     let (random, turn) = (row(&rows, "random+first-fit"), row(&rows, "turn+best-fit"));
