--- a/crates/cases/src/lib.rs
+++ b/crates/cases/src/lib.rs
@@ -1,4 +1,4 @@
-//! Arranges tests: each case has a name and one call.
+//! A macro that defines tests from a list of cases: each case has a name and one call.
 //!
 //! ```
 //! fn doubles(value: u32, expected: u32) {
@@ -10,7 +10,7 @@
 //! }
 //! ```
 
-/// Makes a test of each `name => call;`.
+/// Defines one test function per `name => call;`; attributes before the name are kept.
 #[macro_export]
 macro_rules! cases {
     ($($(#[$meta:meta])* $name:ident => $call:expr;)+) => {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small fakes of the platform's interfaces, sans-I/O; for tests, measurements and the stand-in processes.
+//! Small in-memory fakes of the platform's interfaces, without I/O; for tests, benchmarks and the stand-in processes.
 
 mod store;
 mod table;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform as a shard's owner meets it: what becomes of each thing that it asks for.
+//! A fake of the platform's storage: executes the storage actions of a shard's owner and returns the resulting events.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,20 +11,21 @@
 
 use crate::table::FakeTable;
 
-/// The table and the objects.
+/// The platform's table service and object store, in memory.
 #[derive(Clone, Debug, Default)]
 pub struct FakeStore {
-    /// The table.
+    /// The rows of the table service.
     pub table: FakeTable,
-    /// Objects by digest.
+    /// The stored objects (snapshots), by digest.
     pub objects: HashMap<String, Arc<Vec<u8>>>,
 }
 
 impl FakeStore {
-    /// Does what an owner asks of the store and returns the answer; none for what isn't the store's.
+    /// Executes a storage action of an owner and returns the resulting event; none for actions that don't concern the
+    /// storage.
     ///
     /// # Panics
-    /// A row was not written by an owner.
+    /// A stored row, journal group or inbox entry was not written by an owner, or the snapshot to load is not stored.
     pub fn serve(&mut self, shard: &ShardId, action: &ShardAction) -> Option<ShardEvent> {
         match action {
             ShardAction::ReadRow => {
@@ -69,9 +70,9 @@
             ShardAction::ReadInbox { read_number } => {
                 let range = ReadRange::prefix(&TableKey::InboxOf(shard).text());
                 let rows = self.table.range(&range);
-                let handoffs = rows
-                    .iter()
-                    .map(|row| serde_json::from_str(&row.value).expect("entries are by owners"));
+                let handoffs = rows.iter().map(|row| {
+                    serde_json::from_str(&row.value).expect("entries are written by owners")
+                });
                 Some(ShardEvent::InboxRead {
                     read_number: *read_number,
                     handoffs: handoffs.collect(),
@@ -82,7 +83,8 @@
     }
 }
 
-/// What an owner learns when nothing is known of what it asked for.
+/// Returns the event that an owner receives when the call for an action fails and its effect is unknown; none for actions
+/// without such an event.
 pub fn unanswered(action: &ShardAction) -> Option<ShardEvent> {
     match action {
         ShardAction::ReadRow => Some(ShardEvent::RowReadFailed),
--- a/crates/fakes/src/table.rs
+++ b/crates/fakes/src/table.rs
@@ -1,26 +1,27 @@
-//! A fake of the table service: rows with versions, and transactions that take effect whole.
+//! A fake of the table service: versioned rows and atomic transactions.
 
 use std::collections::BTreeMap;
 
 use sandshelf_platform::{ReadRange, TableRow, TableTxn, TxnOutcome};
 
-/// Rows by key.
+/// Versioned rows, by key.
 #[derive(Clone, Debug, Default)]
 pub struct FakeTable {
     rows: BTreeMap<String, TableRow>,
     version: u64,
-    /// Transactions that took effect.
+    /// The number of committed transactions.
     pub commits: u64,
 }
 
 impl FakeTable {
-    /// Runs a transaction.
+    /// Runs a transaction: applies all of its writes, or none where a checked row has another version than expected. A row
+    /// that doesn't exist has version 0. A conflict returns the checked rows that exist.
     pub fn transact(&mut self, txn: &TableTxn) -> TxnOutcome {
-        let holds = txn
+        let checks_pass = txn
             .checks
             .iter()
             .all(|check| self.version_of(&check.key) == check.version);
-        if !holds {
+        if !checks_pass {
             let rows = txn.checks.iter();
             let rows = rows.filter_map(|check| self.rows.get(&check.key)).cloned();
             return TxnOutcome::Conflict(rows.collect());
@@ -41,12 +42,12 @@
         TxnOutcome::Committed(vec![self.version; txn.puts.len()])
     }
 
-    /// Reads one row.
+    /// Reads one row; none where it doesn't exist.
     pub fn row(&self, key: &str) -> Option<&TableRow> {
         self.rows.get(key)
     }
 
-    /// Reads a range of rows.
+    /// Reads the rows whose keys lie in the range, both ends included, in the order of their keys.
     pub fn range(&self, range: &ReadRange) -> Vec<TableRow> {
         if range.from > range.to {
             return Vec::new();
@@ -55,12 +56,12 @@
         rows.map(|(_, row)| row.clone()).collect()
     }
 
-    /// How many rows there are.
+    /// The number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Whether the table has no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,4 +1,4 @@
-//! A fake of a worker's lease interface, with the rules that sandshelf assumes of the platform.
+//! A fake of a worker's lease interface; it follows the rules that sandshelf assumes of the platform.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,23 @@
 };
 use sandshelf_model::{AttemptId, Epoch, Millis, ResourceSize, WorkerId};
 
-/// How long a failing program runs before it fails.
+/// How long a failing program runs before it fails, in milliseconds.
 const FAIL_AFTER_MS: Millis = 20;
-/// The full speed of a task, in percent.
+/// The speed of a task that is not throttled, in percent.
 const FULL_SPEED: u64 = 100;
 
-/// What a program does, read from its text: `run:MS`, `fail`, or anything else for its declared time.
+/// What a program does, parsed from its text: `run:MS` runs for that many milliseconds, `fail` fails, and any other text runs
+/// for the declared run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgramKind {
-    /// It runs so long and finishes.
+    /// It runs for this time at full speed, in milliseconds, and finishes.
     Run(Millis),
-    /// It fails.
+    /// It fails after a short run.
     Fail,
 }
 
 impl ProgramKind {
-    /// Reads a start order's program.
+    /// Parses the program of a start order; `run:` with an invalid number runs for the declared run time.
     pub fn of(order: &StartOrder) -> Self {
         match order.program.split_once(':') {
             Some(("run", text)) => ProgramKind::Run(text.parse().unwrap_or(order.run_ms)),
@@ -32,21 +33,21 @@
     }
 }
 
-/// One attempt on a fake worker.
+/// One attempt on a fake worker, running or ended.
 #[derive(Clone, Debug)]
 pub struct RunningTask {
-    /// The attempt.
+    /// The attempt's identifier.
     pub attempt: AttemptId,
-    /// What is set aside.
+    /// The resources that are reserved for it.
     pub size: ResourceSize,
-    /// How far it is.
+    /// The phase that it has reached.
     pub phase: AttemptPhase,
-    /// Its speed in percent; lowered by throttling, and by whoever drives the fake.
+    /// Its speed in percent of full speed; lowered by throttle orders, and by the code that drives the fake.
     pub speed: u64,
-    /// Work done so far, in percent-milliseconds.
-    done: u64,
-    /// Work that it has to do, in percent-milliseconds.
-    work: u64,
+    /// The work done so far, as speed in percent times milliseconds.
+    done_percent_ms: u64,
+    /// The work that it has to do in total, as speed in percent times milliseconds.
+    total_percent_ms: u64,
     kind: ProgramKind,
     checkpointable: bool,
     ran_ms: Millis,
@@ -55,19 +56,19 @@
 /// A worker that runs tasks under leases.
 #[derive(Clone, Debug)]
 pub struct FakeWorker {
-    /// The worker's incarnation.
+    /// The worker's name.
     pub worker: WorkerId,
-    /// All that it has for tasks.
+    /// The worker's total capacity for tasks.
     pub capacity: ResourceSize,
-    /// Whether every task that it starts fails.
+    /// Whether every task on it fails after a short run.
     pub broken: bool,
-    /// What each task really uses, in thousandths of a core; none where it is what was set aside.
+    /// The CPU that each task actually uses, in thousandths of a core; none where each task uses what is reserved for it.
     pub usage_cpu_millis: Option<u64>,
-    /// Work done by all attempts, in milliseconds at full speed.
+    /// The work done by all attempts, in milliseconds at full speed.
     pub progress_ms: Millis,
-    /// Run time of attempts that ended without finish or checkpoint.
+    /// The total run time of attempts that were stopped without a checkpoint or whose lease expired, in milliseconds.
     pub wasted_ms: Millis,
-    /// How often an attempt was really started, over all time.
+    /// How often each attempt was actually started since the fake was made; orders that were refused or ignored don't count.
     pub starts: BTreeMap<AttemptId, u32>,
     epoch: Epoch,
     number: u64,
@@ -78,14 +79,14 @@
 }
 
 impl RunningTask {
-    /// How long it has run.
+    /// How long it has run, in milliseconds; time while throttled counts in full.
     pub fn ran_ms(&self) -> Millis {
         self.ran_ms
     }
 }
 
 impl FakeWorker {
-    /// Makes an idle worker.
+    /// Creates a worker without tasks and without a lease.
     pub fn new(worker: WorkerId, capacity: ResourceSize) -> Self {
         Self {
             worker,
@@ -104,21 +105,21 @@
         }
     }
 
-    /// The attempts that run now.
+    /// The running attempts.
     pub fn running(&self) -> impl Iterator<Item = &RunningTask> {
         self.tasks
             .values()
             .filter(|task| task.phase == AttemptPhase::Running)
     }
 
-    /// The attempts that run now, to change their speed.
+    /// The running attempts, for changes of their speed.
     pub fn running_mut(&mut self) -> impl Iterator<Item = &mut RunningTask> {
         self.tasks
             .values_mut()
             .filter(|task| task.phase == AttemptPhase::Running)
     }
 
-    /// What a task really uses.
+    /// The resources that a task actually uses.
     pub fn usage_of(&self, task: &RunningTask) -> ResourceSize {
         ResourceSize {
             cpu_millis: self.usage_cpu_millis.unwrap_or(task.size.cpu_millis),
@@ -126,15 +127,16 @@
         }
     }
 
-    /// Lets time pass: tasks work and end, and leases run out.
+    /// Advances the worker's clock to `now`, in milliseconds: tasks make progress and end, and all running tasks stop where
+    /// the lease has expired.
     pub fn advance(&mut self, now: Millis) {
         let until = now.min(self.lease_until);
-        let passed = until.saturating_sub(self.advanced_to);
+        let elapsed_ms = until.saturating_sub(self.advanced_to);
         let broken = self.broken;
         let mut progress = 0;
         for task in self.running_mut() {
-            work(task, passed, broken);
-            progress += passed * task.speed / FULL_SPEED;
+            advance_task(task, elapsed_ms, broken);
+            progress += elapsed_ms * task.speed / FULL_SPEED;
         }
         self.progress_ms += progress;
         if now > self.lease_until {
@@ -148,7 +150,8 @@
         self.advanced_to = now;
     }
 
-    /// Takes in a message and answers it.
+    /// Handles a message that arrives at `now` and returns the answer. A message that is outdated or whose stamp has expired is
+    /// refused, and none of its orders is executed.
     pub fn handle(&mut self, now: Millis, orders: &WorkerOrders) -> WorkerReport {
         self.advance(now);
         if (orders.epoch, orders.number) <= (self.epoch, self.number) {
@@ -165,7 +168,7 @@
             self.forget(attempt);
         }
         for order in &orders.orders {
-            self.obey(order);
+            self.execute(order);
         }
         self.report(now, None, orders.inventory)
     }
@@ -181,7 +184,7 @@
         }
     }
 
-    fn obey(&mut self, order: &TaskOrder) {
+    fn execute(&mut self, order: &TaskOrder) {
         match order {
             TaskOrder::Start(start) => self.start(start),
             TaskOrder::Checkpoint(attempt) => self.end(attempt, true),
@@ -214,8 +217,8 @@
             size: order.size,
             phase,
             speed: FULL_SPEED,
-            done: order.checkpoint.as_deref().map_or(0, progress_of),
-            work: work_ms * FULL_SPEED,
+            done_percent_ms: order.checkpoint.as_deref().map_or(0, progress_of),
+            total_percent_ms: work_ms * FULL_SPEED,
             kind,
             checkpointable: order.checkpointable,
             ran_ms: 0,
@@ -238,7 +241,7 @@
             return;
         }
         task.phase = if checkpoint && task.checkpointable {
-            AttemptPhase::Checkpointed(format!("{attempt}@{}", task.done))
+            AttemptPhase::Checkpointed(format!("{attempt}@{}", task.done_percent_ms))
         } else {
             self.wasted_ms += task.ran_ms;
             AttemptPhase::Stopped
@@ -269,12 +272,13 @@
     }
 }
 
-fn work(task: &mut RunningTask, passed: Millis, broken: bool) {
-    task.done += passed * task.speed;
-    task.ran_ms += passed;
+/// Adds `elapsed_ms` of run time to a running task, and ends the task where its work is done or it has failed.
+fn advance_task(task: &mut RunningTask, elapsed_ms: Millis, broken: bool) {
+    task.done_percent_ms += elapsed_ms * task.speed;
+    task.ran_ms += elapsed_ms;
     if broken && task.ran_ms >= FAIL_AFTER_MS {
         task.phase = AttemptPhase::Failed;
-    } else if task.done >= task.work {
+    } else if task.done_percent_ms >= task.total_percent_ms {
         task.phase = match task.kind {
             ProgramKind::Run(_) => AttemptPhase::Finished(format!("out/{}", task.attempt)),
             ProgramKind::Fail => AttemptPhase::Failed,
@@ -292,7 +296,8 @@
     }
 }
 
-/// Reads the work done out of a checkpoint's key.
+/// Parses the work done, as speed in percent times milliseconds, from a checkpoint's key (`ATTEMPT@WORK`); 0 where it can't be
+/// parsed.
 fn progress_of(checkpoint: &str) -> u64 {
     let digits = checkpoint.rsplit('@').next();
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
