--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -6,4 +6,4 @@
 
 pub use store::{unanswered, FakeStore};
 pub use table::FakeTable;
-pub use worker::{FakeWorker, ProgramKind, RunningTask};
+pub use worker::{FakeWorker, ProgramKind, TaskAttempt};
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -35,7 +35,7 @@
 
 /// One attempt on a fake worker, running or ended.
 #[derive(Clone, Debug)]
-pub struct RunningTask {
+pub struct TaskAttempt {
     /// The attempt's identifier.
     pub attempt: AttemptId,
     /// The resources that are reserved for it.
@@ -73,12 +73,12 @@
     epoch: Epoch,
     number: u64,
     lease_until: Millis,
-    tasks: BTreeMap<AttemptId, RunningTask>,
+    tasks: BTreeMap<AttemptId, TaskAttempt>,
     acknowledged: BTreeSet<AttemptId>,
     advanced_to: Millis,
 }
 
-impl RunningTask {
+impl TaskAttempt {
     /// How long it has run, in milliseconds; time while throttled counts in full.
     pub fn ran_ms(&self) -> Millis {
         self.ran_ms
@@ -106,21 +106,21 @@
     }
 
     /// The running attempts.
-    pub fn running(&self) -> impl Iterator<Item = &RunningTask> {
+    pub fn running(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.tasks
             .values()
             .filter(|task| task.phase == AttemptPhase::Running)
     }
 
     /// The running attempts, for changes of their speed.
-    pub fn running_mut(&mut self) -> impl Iterator<Item = &mut RunningTask> {
+    pub fn running_mut(&mut self) -> impl Iterator<Item = &mut TaskAttempt> {
         self.tasks
             .values_mut()
             .filter(|task| task.phase == AttemptPhase::Running)
     }
 
     /// The resources that a task actually uses.
-    pub fn usage_of(&self, task: &RunningTask) -> ResourceSize {
+    pub fn usage_of(&self, task: &TaskAttempt) -> ResourceSize {
         ResourceSize {
             cpu_millis: self.usage_cpu_millis.unwrap_or(task.size.cpu_millis),
             ..task.size
@@ -212,7 +212,7 @@
             ProgramKind::Run(run_ms) => run_ms,
             ProgramKind::Fail => FAIL_AFTER_MS,
         };
-        let task = RunningTask {
+        let task = TaskAttempt {
             attempt: order.attempt.clone(),
             size: order.size,
             phase,
@@ -273,7 +273,7 @@
 }
 
 /// Adds `elapsed_ms` of run time to a running task, and ends the task where its work is done or it has failed.
-fn advance_task(task: &mut RunningTask, elapsed_ms: Millis, broken: bool) {
+fn advance_task(task: &mut TaskAttempt, elapsed_ms: Millis, broken: bool) {
     task.done_percent_ms += elapsed_ms * task.speed;
     task.ran_ms += elapsed_ms;
     if broken && task.ran_ms >= FAIL_AFTER_MS {
@@ -286,7 +286,7 @@
     }
 }
 
-fn report_of(task: &RunningTask, usage: ResourceSize) -> AttemptReport {
+fn report_of(task: &TaskAttempt, usage: ResourceSize) -> AttemptReport {
     AttemptReport {
         attempt: task.attempt.clone(),
         phase: task.phase.clone(),
