--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server: slots, service times, and answers that echo what was asked.
+//! A stand-in for a backend server: a fixed number of slots, a service time, and answers that echo the request.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -16,30 +16,30 @@
 
 use crate::serve::{launch, quiet_rocket};
 
-/// The header by which a backend server says that it did not run a request, and why.
+/// The response header with which a backend server states that it did not run a request; its value is the reason.
 pub const REFUSED_HEADER: &str = "sandshelf-refused";
-/// The most that is read of a body.
-const MOST_BODY_MIB: u64 = 64;
+/// The most that is read of a request's body, in MiB; a longer body is cut off there.
+const MAX_BODY_MIB: u64 = 64;
 
-/// What a backend server has done, for tests to look at.
+/// What a backend server has done since its start, for tests to check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendHistory {
-    /// Requests that were run.
+    /// The number of requests that it ran; a request counts once its body has been read, before its service time.
     pub ran: u64,
-    /// Bodies of the requests that were run, where they are short.
+    /// The bodies of these requests that are shorter than 200 bytes, in the order of the requests.
     pub bodies: Vec<String>,
-    /// The most requests that ran at a time.
+    /// The largest number of requests that ran concurrently.
     pub most_at_once: usize,
-    /// Requests that were refused for want of a slot.
+    /// The number of requests that were refused because no slot was free.
     pub refused: u64,
 }
 
-/// How a backend server behaves.
+/// How a backend server behaves; tests change it at run time.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct BackendBehaviour {
-    /// How long a request takes, in milliseconds.
+    /// The service time of each request, in milliseconds.
     pub service_ms: u64,
-    /// Whether the server is leaving and refuses new work.
+    /// Whether the server is shutting down and refuses every new request.
     pub leaving: bool,
 }
 
@@ -52,7 +52,7 @@
     history: Mutex<BackendHistory>,
 }
 
-/// Gives a slot back, also when the caller breaks off.
+/// An occupied slot; frees it when dropped, also when the caller disconnects.
 struct SlotGuard(Arc<BackendState>);
 
 impl Drop for SlotGuard {
@@ -62,6 +62,7 @@
 }
 
 impl BackendState {
+    /// Occupies a slot; none, and counted as refused, where all slots are occupied.
     fn take_slot(self: &Arc<Self>) -> Option<SlotGuard> {
         let running = self.running.fetch_add(1, Ordering::SeqCst) + 1;
         let guard = SlotGuard(self.clone());
@@ -75,7 +76,7 @@
     }
 }
 
-/// Starts the stand-in; returns where it listens.
+/// Starts the stand-in with this number of slots on a free port of the loopback address; returns the address.
 pub async fn start_backend(name: &str, slots: usize, behaviour: BackendBehaviour) -> SocketAddr {
     let state = Arc::new(BackendState {
         name: name.to_owned(),
@@ -93,12 +94,12 @@
         Method::Patch,
         Method::Options,
     ];
-    let work = BackendWork(state.clone());
-    let works = methods.map(|method| Route::ranked(10, method, "/<path..>", work.clone()));
+    let handler = EchoHandler(state.clone());
+    let catch_all = methods.map(|method| Route::ranked(10, method, "/<path..>", handler.clone()));
     let rocket = quiet_rocket(0)
         .manage(state)
-        .mount("/", works.to_vec())
-        .mount("/standin", routes![history, behave]);
+        .mount("/", catch_all.to_vec())
+        .mount("/standin", routes![history, set_behaviour]);
     launch(rocket).await
 }
 
@@ -108,18 +109,19 @@
 }
 
 #[post("/behave", data = "<behaviour>")]
-fn behave(state: &State<Arc<BackendState>>, behaviour: Json<BackendBehaviour>) {
+fn set_behaviour(state: &State<Arc<BackendState>>, behaviour: Json<BackendBehaviour>) {
     state
         .service_ms
         .store(behaviour.service_ms, Ordering::SeqCst);
     state.leaving.store(behaviour.leaving, Ordering::SeqCst);
 }
 
+/// Runs a request in a slot for the service time and echoes it, or refuses it.
 #[derive(Clone)]
-struct BackendWork(Arc<BackendState>);
+struct EchoHandler(Arc<BackendState>);
 
 #[rocket::async_trait]
-impl Handler for BackendWork {
+impl Handler for EchoHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         let state = &self.0;
         if state.leaving.load(Ordering::SeqCst) {
@@ -128,9 +130,9 @@
         let Some(_guard) = state.take_slot() else {
             return Outcome::Success(refusal("busy"));
         };
-        let body = data.open(MOST_BODY_MIB.mebibytes()).into_bytes().await;
+        let body = data.open(MAX_BODY_MIB.mebibytes()).into_bytes().await;
         let body = body.map(|body| body.into_inner()).unwrap_or_default();
-        note_run(state, &body);
+        record_run(state, &body);
         sleep(Duration::from_millis(
             state.service_ms.load(Ordering::SeqCst),
         ))
@@ -139,7 +141,7 @@
     }
 }
 
-fn note_run(state: &BackendState, body: &[u8]) {
+fn record_run(state: &BackendState, body: &[u8]) {
     let mut history = state.history.lock().expect("no handler panics");
     history.ran += 1;
     if body.len() < 200 {
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sends requests and says how each ended.
+//! A caller that sends requests and prints how often each outcome occurred.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,8 @@
 
 use lexopt::prelude::*;
 
-/// Sends requests one after the other and prints a summary.
+/// Reads the options, sends the requests one after the other, and prints how often each outcome occurred and the mean time of a
+/// request in microseconds.
 pub async fn run(parser: &mut lexopt::Parser) -> Result<(), String> {
     let text = |error: lexopt::Error| error.to_string();
     let mut entry = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -24,27 +25,28 @@
     }
     let client = reqwest::Client::new();
     let began = Instant::now();
-    let mut ends: BTreeMap<String, u32> = BTreeMap::new();
+    let mut outcome_counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..count {
         let url = format!("http://{entry}{path}");
         let request = match &body {
             Some(body) => client.post(url).body(body.clone()),
             None => client.get(url),
         };
-        let end = match request.send().await {
+        let outcome = match request.send().await {
             Ok(response) => describe(&response),
             Err(error) => format!("error {error}"),
         };
-        *ends.entry(end).or_default() += 1;
+        *outcome_counts.entry(outcome).or_default() += 1;
     }
     let mean = began.elapsed().as_micros() / u128::from(count.max(1));
-    for (end, times) in ends {
-        println!("{path}: {times} x {end}");
+    for (outcome, times) in outcome_counts {
+        println!("{path}: {times} x {outcome}");
     }
     println!("{path}: mean {mean} us");
     Ok(())
 }
 
+/// Returns the status and the verdict of a response, `-` for no verdict.
 fn describe(response: &reqwest::Response) -> String {
     let verdict = response.headers().get("sandshelf-verdict");
     let verdict = verdict.and_then(|value| value.to_str().ok()).unwrap_or("-");
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,18 +1,19 @@
-//! The demo: the whole local system as processes, an example set for each operator, requests, batch work and a watch.
+//! The demo: runs the local system as processes with each example configuration set, and sends requests, runs batch jobs and a
+//! watch job on it.
 
 use std::path::PathBuf;
 
 use sandshelf_standin::harness::{wait_until, LocalProcess, LocalSystem};
 use serde_json::Value;
 
-/// Workers that the demo starts in each hall.
+/// The number of workers that the demo starts in each hall.
 const WORKERS_PER_HALL: usize = 2;
-/// Requests that the demo sends through each entry host.
+/// The number of requests that the demo sends through each entry host.
 const REQUESTS: &str = "50";
-/// Short leases, so that the demo doesn't take long.
+/// Settings with a short drain, so that the demo takes little time.
 const LIMITS: &str = r#""drain_ms": 300"#;
 
-/// What the demo needs to know of an example set.
+/// What the demo needs to know about an example configuration set: its halls, and a service with a path to request.
 struct DemoSet {
     halls: Vec<&'static str>,
     service: &'static str,
@@ -31,11 +32,14 @@
             service: "search",
             path: "/search/query?text=binary+tree",
         }),
-        _ => Err(format!("the demo knows no set {}", path.display())),
+        _ => Err(format!(
+            "the demo does not support the set {}",
+            path.display()
+        )),
     }
 }
 
-/// Runs the demo for each set.
+/// Runs the demo for the configuration set in each directory.
 pub async fn run(sets: &[PathBuf]) -> Result<(), String> {
     for set in sets {
         run_one(set).await?;
@@ -101,24 +105,32 @@
     }
 }
 
-/// Waits until batch tasks have finished and a standing watch runs.
+/// Waits until at least four batch tasks have finished and a watch job runs.
 async fn wait_for_batch(system: &LocalSystem) {
-    let look = || async {
+    let batch_progressed = || async {
         let mut finished = 0;
         let mut watches = 0;
         for host in system.hosts.values() {
             let status = system.get(host.operator, "/status").await?;
             for shard in status["shards"].as_array()? {
                 finished += shard["stats"]["finished"].as_u64().unwrap_or(0);
-                watches += shard["jobs"].as_array()?.iter().filter(runs_watch).count();
+                watches += shard["jobs"]
+                    .as_array()?
+                    .iter()
+                    .filter(is_running_watch)
+                    .count();
             }
         }
         (finished >= 4 && watches >= 1).then_some(())
     };
-    wait_until("batch tasks have finished and a watch runs", look).await;
+    wait_until(
+        "batch tasks have finished and a watch job runs",
+        batch_progressed,
+    )
+    .await;
 }
 
-fn runs_watch(job: &&Value) -> bool {
+fn is_running_watch(job: &&Value) -> bool {
     let stages = job["stages"].as_array();
     let placed = |stage: &Value| stage["stage"] == "placed";
     job["watch"] == true && stages.is_some_and(|stages| stages.iter().any(placed))
@@ -131,7 +143,7 @@
     for (name, host) in &mut system.hosts {
         match host.process.wait_end() {
             Some(0) => println!("{name} stopped as planned"),
-            code => return Err(format!("{name} ended with {code:?}")),
+            code => return Err(format!("{name} exited with {code:?}")),
         }
     }
     println!();
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -1,6 +1,7 @@
 //! Starts the daemons and stand-ins as processes, for the demo and for failure tests.
 //!
-//! Every process is ended when its value is dropped. Conditions are waited for; nothing sleeps for a fixed time.
+//! Each process is killed when its value is dropped. Callers wait for conditions, which are polled; nothing sleeps for a fixed
+//! time.
 
 use std::collections::HashMap;
 use std::fs;
@@ -15,14 +16,14 @@
 
 use serde_json::Value;
 
-/// The longest that a condition is waited for before the test fails; far above what any takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How many of a process's last lines are printed where a test fails.
-const SHOWN_LINES: usize = 40;
-/// How often a condition is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The longest wait for a condition before the test fails; far above what any condition takes.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// The most log lines of a process, the last ones, that are printed when a test fails.
+const MAX_SHOWN_LINES: usize = 40;
+/// The interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Finds a program of this workspace beside the one that runs.
+/// Returns the path of a program of this workspace, in the same build directory as the running program.
 ///
 /// # Panics
 /// The workspace was not built.
@@ -35,20 +36,22 @@
     let path = directory.join(name);
     assert!(
         path.exists(),
-        "{} is not there: run cargo build --workspace first",
+        "{} does not exist: run cargo build --workspace first",
         path.display()
     );
     path
 }
 
+/// The lines that a process has printed to stdout and stderr.
 #[derive(Default)]
 struct LineLog {
     lines: Mutex<Vec<String>>,
-    more: Condvar,
+    /// Notified after each added line.
+    line_added: Condvar,
 }
 
 impl LineLog {
-    /// The lines so far; also after a test has failed while it held them, so that its log can still be printed.
+    /// Locks the lines, also after a test panicked while it held the lock, so that the log can still be printed.
     fn read(&self) -> MutexGuard<'_, Vec<String>> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -62,10 +65,10 @@
 }
 
 impl LocalProcess {
-    /// Starts a program of this workspace.
+    /// Starts a program of this workspace and records the lines that it prints.
     ///
     /// # Panics
-    /// It can't be started.
+    /// The program can't be started.
     pub fn start(name: &str, arguments: &[&str]) -> Self {
         let mut child = Command::new(program(name))
             .args(arguments)
@@ -81,7 +84,7 @@
         ];
         for stream in streams.into_iter().flatten() {
             let log = log.clone();
-            thread::spawn(move || follow(stream, &log));
+            thread::spawn(move || collect_lines(stream, &log));
         }
         Self {
             child,
@@ -95,10 +98,10 @@
         self.child.id()
     }
 
-    /// Waits for a line that holds `part` and returns it.
+    /// Waits until the process has printed a line that contains `part`, and returns the first such line.
     ///
     /// # Panics
-    /// The line does not come.
+    /// No such line is printed within 30 seconds.
     pub fn wait_for(&self, part: &str) -> String {
         let began = Instant::now();
         let mut lines = self.log.read();
@@ -107,17 +110,17 @@
                 return line.clone();
             }
             assert!(
-                began.elapsed() < PATIENCE,
-                "{} did not print '{part}' but:\n{}",
+                began.elapsed() < CONDITION_TIMEOUT,
+                "timed out waiting until {} prints '{part}'; it printed:\n{}",
                 self.name,
                 lines.join("\n")
             );
-            let waited = self.log.more.wait_timeout(lines, LOOK_EVERY);
+            let waited = self.log.line_added.wait_timeout(lines, POLL_INTERVAL);
             lines = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// The lines printed so far that hold `part`.
+    /// The lines printed so far that contain `part`.
     pub fn lines(&self, part: &str) -> Vec<String> {
         let lines = self.log.read();
         let found = lines.iter().filter(|line| line.contains(part));
@@ -134,7 +137,7 @@
             .arg(self.child.id().to_string())
             .status();
         assert!(
-            status.expect("kill is there").success(),
+            status.expect("the kill command can be run").success(),
             "kill -{name} failed"
         );
     }
@@ -142,24 +145,28 @@
     /// Whether the process has ended.
     ///
     /// # Panics
-    /// The system doesn't tell.
+    /// The operating system can't report the state of the process.
     pub fn has_ended(&mut self) -> bool {
         let status = self.child.try_wait();
-        status.expect("a child can be asked for").is_some()
+        status.expect("the state of a child can be read").is_some()
     }
 
-    /// Waits until the process has ended; returns its exit code.
+    /// Waits until the process has ended; returns its exit code, none where a signal ended it.
     ///
     /// # Panics
-    /// It does not end.
+    /// The process does not end within 30 seconds.
     pub fn wait_end(&mut self) -> Option<i32> {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child can be waited for") {
                 return status.code();
             }
-            assert!(began.elapsed() < PATIENCE, "{} does not end", self.name);
-            thread::sleep(LOOK_EVERY);
+            assert!(
+                began.elapsed() < CONDITION_TIMEOUT,
+                "timed out waiting until {} ends",
+                self.name
+            );
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -168,9 +175,9 @@
     fn drop(&mut self) {
         if thread::panicking() {
             let lines = self.lines("event=");
-            let skipped = lines.len().saturating_sub(SHOWN_LINES);
+            let skipped = lines.len().saturating_sub(MAX_SHOWN_LINES);
             eprintln!(
-                "{} printed last:\n{}",
+                "last events of {}:\n{}",
                 self.name,
                 lines[skipped..].join("\n")
             );
@@ -180,39 +187,40 @@
     }
 }
 
-fn follow(stream: Box<dyn Read + Send>, log: &LineLog) {
+/// Adds each line of the stream to the log, until the stream ends.
+fn collect_lines(stream: Box<dyn Read + Send>, log: &LineLog) {
     for line in BufReader::new(stream).lines() {
         let Ok(line) = line else { return };
         log.read().push(line);
-        log.more.notify_all();
+        log.line_added.notify_all();
     }
 }
 
-/// Reads `key=value` out of a line.
+/// Returns the value of the first `key=value` word in a log line; none where the line has no such key.
 pub fn pair<'a>(line: &'a str, key: &str) -> Option<&'a str> {
-    let start = format!("{key}=");
+    let prefix = format!("{key}=");
     line.split_whitespace()
-        .find_map(|word| word.strip_prefix(&start))
+        .find_map(|word| word.strip_prefix(&prefix))
 }
 
-/// Reads an address out of a line.
+/// Returns the address under `key` in a log line.
 ///
 /// # Panics
-/// The line has none under `key`.
+/// The line has no such key, or its value is not an address.
 pub fn address(line: &str, key: &str) -> SocketAddr {
     let text = pair(line, key).unwrap_or_else(|| panic!("no {key} in: {line}"));
     text.parse().expect("an address was printed")
 }
 
-/// A daemon and where it listens.
+/// A running daemon and the addresses at which it listens.
 pub struct EntryHost {
     /// The process.
     pub process: LocalProcess,
-    /// For callers.
+    /// The address for callers.
     pub caller: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operator: SocketAddr,
-    /// For other entry hosts.
+    /// The address for other entry hosts.
     pub peer: SocketAddr,
 }
 
@@ -220,9 +228,9 @@
 pub struct WorkerHost {
     /// The process.
     pub process: LocalProcess,
-    /// The lease interface.
+    /// The address of the lease interface.
     pub lease: SocketAddr,
-    /// The backend server.
+    /// The address of the backend server.
     pub backend: SocketAddr,
 }
 
@@ -230,7 +238,7 @@
 pub struct LocalSystem {
     /// The platform stand-in.
     pub platform: LocalProcess,
-    /// Where it listens.
+    /// The address of the platform stand-in.
     pub platform_address: SocketAddr,
     /// Workers by name.
     pub workers: HashMap<String, WorkerHost>,
@@ -240,10 +248,10 @@
 }
 
 impl LocalSystem {
-    /// Starts the platform stand-in alone.
+    /// Starts the platform stand-in, without workers or entry hosts.
     ///
     /// # Panics
-    /// It does not start.
+    /// The stand-in does not start.
     pub fn start() -> Self {
         let platform = LocalProcess::start("sandshelf-standin", &["platform"]);
         let platform_address = address(&platform.wait_for("event=listening"), "address");
@@ -259,10 +267,10 @@
         }
     }
 
-    /// Starts a worker with a backend server of `service`.
+    /// Starts a worker with a backend server of `service`, each of whose requests takes `service_ms` milliseconds.
     ///
     /// # Panics
-    /// It does not start.
+    /// The worker does not start.
     pub fn add_worker(&mut self, name: &str, hall: &str, service: &str, service_ms: u64) {
         let platform = self.platform_address.to_string();
         let service_ms = service_ms.to_string();
@@ -294,10 +302,11 @@
         self.workers.insert(name.to_owned(), worker);
     }
 
-    /// Starts a daemon; `limits` are further settings, such as `"shard_lease_ms": 1000`.
+    /// Starts a daemon as an entry host; `limits` are further settings as JSON fields, such as `"shard_lease_ms": 1000`, and may
+    /// be empty.
     ///
     /// # Panics
-    /// It does not start.
+    /// The daemon does not start.
     pub fn add_host(&mut self, name: &str, hall: &str, limits: &str) {
         let path = self.directory.join(format!("{name}.jsonc"));
         let comma = if limits.is_empty() { "" } else { "," };
@@ -320,10 +329,10 @@
         self.hosts.insert(name.to_owned(), host);
     }
 
-    /// Writes a set of one file and returns its directory.
+    /// Writes a configuration set of one file and returns its directory.
     ///
     /// # Panics
-    /// It can't be written.
+    /// The file can't be written.
     pub fn write_set(&self, name: &str, text: &str) -> PathBuf {
         let directory = self.directory.join(name);
         fs::create_dir_all(&directory).expect("a directory for a set can be made");
@@ -331,10 +340,10 @@
         directory
     }
 
-    /// Runs the operators' command against this system.
+    /// Runs the operators' command against this system and waits until it ends.
     ///
     /// # Panics
-    /// It can't be started.
+    /// The command can't be started.
     pub fn command(&self, arguments: &[&str]) -> Output {
         Command::new(program("sandshelf"))
             .args(arguments)
@@ -343,7 +352,7 @@
             .expect("the operators' command starts")
     }
 
-    /// Changes how the platform stand-in misbehaves.
+    /// Replaces the faults that the platform stand-in injects.
     ///
     /// # Panics
     /// The stand-in can't be reached.
@@ -354,7 +363,7 @@
         set.expect("the stand-in's faults can be set");
     }
 
-    /// Reads JSON from a stand-in or a daemon; none where it does not answer.
+    /// Fetches JSON from a stand-in or a daemon; none where there is no answer within 2 seconds or the answer is not JSON.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Option<Value> {
         let client = reqwest::Client::new();
         let request = client.get(format!("http://{address}{path}"));
@@ -382,21 +391,24 @@
     }
 }
 
-/// Waits until `look` finds something.
+/// Calls `probe` repeatedly until it returns a value, and returns that value; `what` describes the condition.
 ///
 /// # Panics
-/// It finds nothing for a long time.
-pub async fn wait_until<T, F, L>(what: &str, mut look: L) -> T
+/// The probe returns no value within 30 seconds.
+pub async fn wait_until<T, F, L>(what: &str, mut probe: L) -> T
 where
     L: FnMut() -> F,
     F: Future<Output = Option<T>>,
 {
     let began = Instant::now();
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = probe().await {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "waited in vain until {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(
+            began.elapsed() < CONDITION_TIMEOUT,
+            "timed out waiting until {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the platform, workers and backend servers, as processes for the demo and for failure tests.
+//! Stand-ins for the platform, workers and backend servers, run as processes by the demo and by failure tests.
 //!
-//! Development only: nothing here is shipped.
+//! For development only; not part of a release.
 
 pub mod backend;
 pub mod harness;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in, or the demo of the whole local system.
+//! Runs one stand-in, a caller that sends requests, or the demo of the local system.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 mod demo;
 
 const HELP: &str = "\
-standin: stand-ins for trying sandshelf out (development only)
+standin: stand-ins to try sandshelf locally (development only)
 
 Usage:
   standin platform
@@ -24,9 +24,9 @@
   standin caller --entry IP:PORT --path PATH --count N [--body TEXT]
   standin demo [--set DIR]...";
 
-/// What a worker stand-in is.
+/// The options of a worker stand-in; `replica` is the part of its capacity that its backend server occupies.
 #[derive(Clone, Debug)]
-struct WorkerWish {
+struct WorkerOptions {
     platform: SocketAddr,
     name: String,
     hall: String,
@@ -50,29 +50,29 @@
 
 async fn run() -> Result<(), String> {
     let mut parser = lexopt::Parser::from_env();
-    let command = match parser.next().map_err(text)? {
-        Some(Value(word)) => word.string().map_err(text)?,
+    let command = match parser.next().map_err(error_text)? {
+        Some(Value(word)) => word.string().map_err(error_text)?,
         _ => return Err(HELP.to_owned()),
     };
     match command.as_str() {
         "platform" => run_platform().await,
-        "worker" => run_worker(read_worker(&mut parser)?).await,
+        "worker" => run_worker(parse_worker_options(&mut parser)?).await,
         "caller" => caller::run(&mut parser).await,
-        "demo" => demo::run(&read_sets(&mut parser)?).await,
+        "demo" => demo::run(&parse_sets(&mut parser)?).await,
         _ => Err(HELP.to_owned()),
     }
 }
 
-fn text(error: lexopt::Error) -> String {
+fn error_text(error: lexopt::Error) -> String {
     error.to_string()
 }
 
-fn read_sets(parser: &mut lexopt::Parser) -> Result<Vec<PathBuf>, String> {
+fn parse_sets(parser: &mut lexopt::Parser) -> Result<Vec<PathBuf>, String> {
     let mut sets = Vec::new();
-    while let Some(argument) = parser.next().map_err(text)? {
+    while let Some(argument) = parser.next().map_err(error_text)? {
         match argument {
-            Long("set") => sets.push(PathBuf::from(parser.value().map_err(text)?)),
-            other => return Err(text(other.unexpected())),
+            Long("set") => sets.push(PathBuf::from(parser.value().map_err(error_text)?)),
+            other => return Err(error_text(other.unexpected())),
         }
     }
     if sets.is_empty() {
@@ -89,8 +89,8 @@
     std::future::pending().await
 }
 
-fn read_worker(parser: &mut lexopt::Parser) -> Result<WorkerWish, String> {
-    let mut wish = WorkerWish {
+fn parse_worker_options(parser: &mut lexopt::Parser) -> Result<WorkerOptions, String> {
+    let mut options = WorkerOptions {
         platform: SocketAddr::from(([127, 0, 0, 1], 0)),
         name: "w-1".to_owned(),
         hall: "hall".to_owned(),
@@ -100,54 +100,55 @@
         capacity: ResourceSize::new(16_000, 60_000, 0),
         replica: ResourceSize::new(4_000, 16_000, 0),
     };
-    while let Some(argument) = parser.next().map_err(text)? {
+    while let Some(argument) = parser.next().map_err(error_text)? {
         let name = match argument {
             Long(name) => name.to_owned(),
-            other => return Err(text(other.unexpected())),
+            other => return Err(error_text(other.unexpected())),
         };
-        let value = parser.value().map_err(text)?;
-        let number = || value.parse::<u64>().map_err(text);
+        let value = parser.value().map_err(error_text)?;
+        let number = || value.parse::<u64>().map_err(error_text);
         match name.as_str() {
-            "platform" => wish.platform = value.parse().map_err(text)?,
-            "name" => wish.name = value.string().map_err(text)?,
-            "hall" => wish.hall = value.string().map_err(text)?,
-            "rack" => wish.rack = value.string().map_err(text)?,
-            "service" => wish.service = value.string().map_err(text)?,
-            "service-ms" => wish.service_ms = number()?,
-            "cpu-millis" => wish.capacity.cpu_millis = number()?,
-            "memory-mib" => wish.capacity.memory_mib = number()?,
+            "platform" => options.platform = value.parse().map_err(error_text)?,
+            "name" => options.name = value.string().map_err(error_text)?,
+            "hall" => options.hall = value.string().map_err(error_text)?,
+            "rack" => options.rack = value.string().map_err(error_text)?,
+            "service" => options.service = value.string().map_err(error_text)?,
+            "service-ms" => options.service_ms = number()?,
+            "cpu-millis" => options.capacity.cpu_millis = number()?,
+            "memory-mib" => options.capacity.memory_mib = number()?,
             _ => return Err(format!("unknown option --{name}")),
         }
     }
-    Ok(wish)
+    Ok(options)
 }
 
-/// Starts a worker with a backend server on it, and has the platform list both.
-async fn run_worker(wish: WorkerWish) -> Result<(), String> {
-    let room = wish.capacity.saturating_minus(&wish.replica);
-    let lease = start_worker(&wish.name, room).await;
+/// Starts a worker with a backend server on it, and registers both in the platform's host list; runs until the process ends.
+async fn run_worker(options: WorkerOptions) -> Result<(), String> {
+    let task_capacity = options.capacity.saturating_minus(&options.replica);
+    let lease = start_worker(&options.name, task_capacity).await;
     let behaviour = BackendBehaviour {
-        service_ms: wish.service_ms,
+        service_ms: options.service_ms,
         leaving: false,
     };
-    let server = format!("{}-{}", wish.service, wish.name);
+    let server = format!("{}-{}", options.service, options.name);
     let backend = start_backend(&server, 8, behaviour).await;
     let kind = HostKind::Worker {
-        capacity: room,
+        capacity: task_capacity,
         services: Vec::new(),
     };
-    list_host(&wish, &wish.name, kind, lease).await?;
+    register_host(&options, &options.name, kind, lease).await?;
     let kind = HostKind::Backend {
-        service: ServiceId::from(wish.service.as_str()),
-        worker: WorkerId::from(wish.name.as_str()),
+        service: ServiceId::from(options.service.as_str()),
+        worker: WorkerId::from(options.name.as_str()),
     };
-    list_host(&wish, &server, kind, backend).await?;
+    register_host(&options, &server, kind, backend).await?;
     println!("event=listening lease={lease} backend={backend}");
     std::future::pending().await
 }
 
-async fn list_host(
-    wish: &WorkerWish,
+/// Registers a host as live in the platform's host list.
+async fn register_host(
+    options: &WorkerOptions,
     name: &str,
     kind: HostKind,
     address: SocketAddr,
@@ -155,12 +156,12 @@
     let entry = HostEntry {
         name: name.to_owned(),
         kind,
-        hall: HallId::from(wish.hall.as_str()),
-        rack: RackId::from(wish.rack.as_str()),
+        hall: HallId::from(options.hall.as_str()),
+        rack: RackId::from(options.rack.as_str()),
         address,
         state: HostState::Live,
     };
-    let url = format!("http://{}/standin/hosts", wish.platform);
+    let url = format!("http://{}/standin/hosts", options.platform);
     let sent = reqwest::Client::new().post(url).json(&entry).send().await;
     let listed = sent.and_then(reqwest::Response::error_for_status);
     listed.map(|_| ()).map_err(|error| error.to_string())
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: table service, object store and host list, with faults on demand.
+//! A stand-in for the platform: table service, object store and host list over HTTP, with fault injection.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 
 use crate::serve::{launch, quiet_rocket};
 
-/// How the stand-in misbehaves.
+/// The faults that the stand-in injects; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultPlan {
-    /// Nothing is answered, and nothing takes effect.
+    /// The stand-in is unavailable: every call is answered with status 503 and has no effect.
     pub down: bool,
-    /// Transactions take effect, but their answers are lost.
+    /// Transactions are committed, but their callers get status 504 instead of the answer; conflicts are still reported.
     pub lose_answers: bool,
-    /// Each call to the table or the object store takes so much longer, in milliseconds.
+    /// The delay that is added to each call to the table, the object store or the host list, in milliseconds.
     pub delay_ms: u64,
-    /// The host list stays as it is.
+    /// The host list is served as it was last read before the fault; later changes don't appear.
     pub list_frozen: bool,
 }
 
-/// Counts of calls.
+/// The numbers of calls to the table since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Transactions that took effect.
+    /// Committed transactions.
     pub commits: u64,
     /// Reads of the table.
     pub reads: u64,
@@ -43,7 +43,9 @@
     table: FakeTable,
     objects: HashMap<String, Vec<u8>>,
     hosts: BTreeMap<String, HostEntry>,
+    /// The version of the host list; increases with each change.
     as_of: u64,
+    /// The host list as it was last read, which is served while the list is frozen.
     served: HostList,
     faults: FaultPlan,
     reads: u64,
@@ -51,7 +53,7 @@
 
 type SharedState = Mutex<PlatformState>;
 
-/// Starts the stand-in; returns where it listens.
+/// Starts the stand-in on this port of the loopback address, 0 for a free one; returns the address.
 pub async fn start_platform(port: u16) -> SocketAddr {
     let rocket = quiet_rocket(port)
         .manage(SharedState::default())
@@ -60,8 +62,8 @@
     launch(rocket).await
 }
 
-/// Waits as the faults say; fails where the stand-in is down.
-async fn suffer(state: &SharedState) -> Result<FaultPlan, Status> {
+/// Applies the delay of the current faults and returns the faults; fails with status 503 where the stand-in is down.
+async fn apply_faults(state: &SharedState) -> Result<FaultPlan, Status> {
     let faults = state.lock().expect("no handler panics").faults.clone();
     if faults.delay_ms > 0 {
         sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -77,7 +79,7 @@
     state: &State<SharedState>,
     range: Json<ReadRange>,
 ) -> Result<Json<Vec<TableRow>>, Status> {
-    suffer(state).await?;
+    apply_faults(state).await?;
     let mut state = state.lock().expect("no handler panics");
     state.reads += 1;
     Ok(Json(state.table.range(&range)))
@@ -88,7 +90,7 @@
     state: &State<SharedState>,
     txn: Json<TableTxn>,
 ) -> Result<Json<TxnOutcome>, Status> {
-    let faults = suffer(state).await?;
+    let faults = apply_faults(state).await?;
     let outcome = state
         .lock()
         .expect("no handler panics")
@@ -106,7 +108,7 @@
     digest: &str,
     data: Data<'_>,
 ) -> Result<Status, Status> {
-    suffer(state).await?;
+    apply_faults(state).await?;
     let bytes = data.open(256.mebibytes()).into_bytes().await;
     let bytes = bytes.map_err(|_| Status::BadRequest)?.into_inner();
     let mut state = state.lock().expect("no handler panics");
@@ -116,14 +118,14 @@
 
 #[get("/objects/<digest>")]
 async fn get_object(state: &State<SharedState>, digest: &str) -> Result<Vec<u8>, Status> {
-    suffer(state).await?;
+    apply_faults(state).await?;
     let state = state.lock().expect("no handler panics");
     state.objects.get(digest).cloned().ok_or(Status::NotFound)
 }
 
 #[get("/hosts")]
 async fn hosts(state: &State<SharedState>) -> Result<Json<HostList>, Status> {
-    suffer(state).await?;
+    apply_faults(state).await?;
     let mut state = state.lock().expect("no handler panics");
     if !state.faults.list_frozen {
         state.served = HostList {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a Rocket server on a port of the system's choice and tells where it listens.
+//! Starts a Rocket server on the loopback address and returns the address at which it listens.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,17 +10,18 @@
 use rocket::{Build, Rocket};
 use tokio::sync::oneshot;
 
-/// The largest body that a stand-in takes, as much as one write to the platform's store may hold.
-const LARGEST_BODY_KIB: u64 = 1_024;
+/// The largest text body that a stand-in accepts, in KiB; equals the most that one write to the platform's store may hold.
+const MAX_BODY_KIB: u64 = 1_024;
 
-/// Makes a quiet server on the loopback address; port 0 lets the system choose.
+/// Builds a server on the loopback address that logs nothing and ignores signals; port 0 lets the operating system choose the
+/// port.
 pub fn quiet_rocket(port: u16) -> Rocket<Build> {
     rocket::custom(Config {
         address: IpAddr::V4(Ipv4Addr::LOCALHOST),
         port,
         log_level: LogLevel::Off,
         cli_colors: false,
-        limits: Limits::default().limit("string", LARGEST_BODY_KIB.kibibytes()),
+        limits: Limits::default().limit("string", MAX_BODY_KIB.kibibytes()),
         ident: Ident::try_new("standin").unwrap_or_default(),
         shutdown: Shutdown {
             ctrlc: false,
@@ -33,14 +34,17 @@
 }
 
 /// Launches a server and returns its address once it listens.
+///
+/// # Panics
+/// The server can't be started.
 pub async fn launch(rocket: Rocket<Build>) -> SocketAddr {
-    let (tell, told) = oneshot::channel();
-    let tell = std::sync::Mutex::new(Some(tell));
+    let (sender, receiver) = oneshot::channel();
+    let sender = std::sync::Mutex::new(Some(sender));
     let rocket = rocket.attach(AdHoc::on_liftoff("address", move |rocket| {
         let config = rocket.config();
         let address = SocketAddr::new(config.address, config.port);
-        if let Some(tell) = tell.lock().ok().and_then(|mut tell| tell.take()) {
-            let _ = tell.send(address);
+        if let Some(sender) = sender.lock().ok().and_then(|mut sender| sender.take()) {
+            let _ = sender.send(address);
         }
         Box::pin(async {})
     }));
@@ -49,5 +53,5 @@
             eprintln!("stand-in: the server failed: {error}");
         }
     });
-    told.await.expect("the stand-in's server starts")
+    receiver.await.expect("the stand-in's server starts")
 }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker: the lease interface over HTTP, in front of the fake worker.
+//! A stand-in for a worker: serves the lease interface of a fake worker over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -14,28 +14,31 @@
 
 use crate::serve::{launch, quiet_rocket};
 
-/// What a worker has run, for tests to look at.
+/// What a worker has run since its start, for tests to check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerHistory {
-    /// Each attempt with how often it was really started.
+    /// Each attempt with the number of times that it was actually started.
     pub starts: Vec<(String, u32)>,
-    /// Attempts that run now.
+    /// The running attempts.
     pub running: Vec<String>,
 }
 
 struct WorkerState {
     worker: Mutex<FakeWorker>,
+    /// Whether the lease interface is unavailable: calls are answered with status 503 and don't reach the worker.
     cut: Mutex<bool>,
+    /// When the stand-in started; the zero of the worker's clock.
     began: Instant,
 }
 
 impl WorkerState {
+    /// The worker's clock, in milliseconds since the start of the stand-in.
     fn now(&self) -> Millis {
         self.began.elapsed().as_millis() as Millis
     }
 }
 
-/// Starts the stand-in; returns where it listens.
+/// Starts the stand-in on a free port of the loopback address; returns the address.
 pub async fn start_worker(name: &str, capacity: ResourceSize) -> SocketAddr {
     let state = WorkerState {
         worker: Mutex::new(FakeWorker::new(WorkerId::from(name), capacity)),
