--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -12,8 +12,8 @@
 /// The speed of a task that is not throttled, in percent.
 const FULL_SPEED: u64 = 100;
 
-/// What a program does, parsed from its text: `run:MS` runs for that many milliseconds, `fail` fails, and any other text runs
-/// for the declared run time.
+/// What a program does, parsed from its text: `run:MS` runs for that many milliseconds, `fail` fails, and any other text
+/// runs for the declared run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgramKind {
     /// It runs for this time at full speed, in milliseconds, and finishes.
@@ -150,8 +150,8 @@
         self.advanced_to = now;
     }
 
-    /// Handles a message that arrives at `now` and returns the answer. A message that is outdated or whose stamp has expired is
-    /// refused, and none of its orders is executed.
+    /// Handles a message that arrives at `now` and returns the answer. A message that is outdated or whose stamp has expired
+    /// is refused, and none of its orders is executed.
     pub fn handle(&mut self, now: Millis, orders: &WorkerOrders) -> WorkerReport {
         self.advance(now);
         if (orders.epoch, orders.number) <= (self.epoch, self.number) {
@@ -296,8 +296,8 @@
     }
 }
 
-/// Parses the work done, as speed in percent times milliseconds, from a checkpoint's key (`ATTEMPT@WORK`); 0 where it can't be
-/// parsed.
+/// Parses the work done, as speed in percent times milliseconds, from a checkpoint's key (`ATTEMPT@WORK`); 0 where it can't
+/// be parsed.
 fn progress_of(checkpoint: &str) -> u64 {
     let digits = checkpoint.rsplit('@').next();
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -6,8 +6,8 @@
 
 use lexopt::prelude::*;
 
-/// Reads the options, sends the requests one after the other, and prints how often each outcome occurred and the mean time of a
-/// request in microseconds.
+/// Reads the options, sends the requests one after the other, and prints how often each outcome occurred and the mean time
+/// of a request in microseconds.
 pub async fn run(parser: &mut lexopt::Parser) -> Result<(), String> {
     let text = |error: lexopt::Error| error.to_string();
     let mut entry = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: runs the local system as processes with each example configuration set, and sends requests, runs batch jobs and a
-//! watch job on it.
+//! The demo: runs the local system as processes with each example configuration set, and sends requests, runs batch jobs and
+//! a watch job on it.
 
 use std::path::PathBuf;
 
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -1,7 +1,7 @@
 //! Starts the daemons and stand-ins as processes, for the demo and for failure tests.
 //!
-//! Each process is killed when its value is dropped. Callers wait for conditions, which are polled; nothing sleeps for a fixed
-//! time.
+//! Each process is killed when its value is dropped. Callers wait for conditions, which are polled; nothing sleeps for a
+//! fixed time.
 
 use std::collections::HashMap;
 use std::fs;
@@ -302,8 +302,8 @@
         self.workers.insert(name.to_owned(), worker);
     }
 
-    /// Starts a daemon as an entry host; `limits` are further settings as JSON fields, such as `"shard_lease_ms": 1000`, and may
-    /// be empty.
+    /// Starts a daemon as an entry host; `limits` are further settings as JSON fields, such as `"shard_lease_ms": 1000`, and
+    /// may be empty.
     ///
     /// # Panics
     /// The daemon does not start.
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -13,8 +13,8 @@
 /// The largest text body that a stand-in accepts, in KiB; equals the most that one write to the platform's store may hold.
 const MAX_BODY_KIB: u64 = 1_024;
 
-/// Builds a server on the loopback address that logs nothing and ignores signals; port 0 lets the operating system choose the
-/// port.
+/// Builds a server on the loopback address that logs nothing and ignores signals; port 0 lets the operating system choose
+/// the port.
 pub fn quiet_rocket(port: u16) -> Rocket<Build> {
     rocket::custom(Config {
         address: IpAddr::V4(Ipv4Addr::LOCALHOST),
--- a/crates/standin/tests/whole_path.rs
+++ b/crates/standin/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes: caller, entry hosts, backend servers, platform, workers.
+//! Tests of the complete system as separate processes: caller, entry hosts, backend servers, platform, workers.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use sandshelf_standin::harness::wait_until;
 use support::{applied_system, block_on, header};
 
-async fn get_and_post_come_back_whole() {
+async fn get_and_post_are_answered_completely() {
     let system = applied_system().await;
     let client = Client::new();
     let body = "lot 17 ".repeat(20_000);
@@ -22,7 +22,7 @@
         assert_eq!(
             header(&got, "x-frame-options"),
             "",
-            "headers of our own were added"
+            "the entry host added a header of its own"
         );
         assert_eq!(
             got.text().await.expect("a body"),
@@ -43,8 +43,8 @@
             .lines()
             .filter(|line| line.starts_with("reconcile"))
             .filter_map(|line| line.split_whitespace().rev().nth(1)?.parse::<u32>().ok());
-        let all_over = !printed.contains("waiting") && !printed.contains("placed");
-        (tasks.sum::<u32>() == 4 && all_over).then_some(())
+        let none_pending = !printed.contains("waiting") && !printed.contains("placed");
+        (tasks.sum::<u32>() == 4 && none_pending).then_some(())
     };
     wait_until("the job's four tasks have finished", finished).await;
     let output = system.command(&["explain", "reconcile/0"]);
@@ -70,7 +70,7 @@
 }
 
 cases! {
-    requests_through_either_entry_host => block_on(get_and_post_come_back_whole());
+    requests_through_either_entry_host => block_on(get_and_post_are_answered_completely());
     batch_job_is_started_and_shown => block_on(a_batch_job_finishes_and_is_shown());
     undeclared_service_is_refused => block_on(an_unknown_service_is_not_run());
     planned_stop_is_clean => block_on(a_planned_stop_ends_with_code_zero());
--- a/crates/standin/tests/process_failures.rs
+++ b/crates/standin/tests/process_failures.rs
@@ -1,4 +1,5 @@
-//! Failures of real processes: kills, freezes, a platform that loses answers or is down, races, drains.
+//! Tests of failures of real processes: killed and frozen owners, a platform that loses answers or is down, operators that
+//! race, drained entry hosts.
 
 mod support;
 
@@ -9,10 +10,10 @@
 use serde_json::Value;
 use support::{applied_system, apply, block_on, header, SET};
 
-/// How many shards the small system has: one a hall.
+/// The number of shards of the small system, one per hall.
 const SHARDS: usize = 2;
 
-/// A set with one long job beside the usual ones.
+/// The usual configuration set with one more job, `long`, whose three tasks run for `run_ms` milliseconds each.
 fn set_with_long_job(run_ms: u64) -> String {
     let long = format!(
         r#""jobs": [
@@ -22,6 +23,7 @@
     SET.replace(r#""jobs": ["#, &long)
 }
 
+/// The history of each worker; none where a worker doesn't answer.
 async fn histories(system: &LocalSystem) -> Option<Vec<Value>> {
     let mut histories = Vec::new();
     for worker in system.workers.values() {
@@ -30,7 +32,7 @@
     Some(histories)
 }
 
-/// Every start on every worker: attempts of `job` with how often each was started.
+/// The attempts of `job` on all workers, each with the number of times that its worker started it.
 async fn starts_of(system: &LocalSystem, job: &str) -> Vec<(String, u64)> {
     let histories = histories(system).await.expect("the workers answer");
     let starts = histories
@@ -45,6 +47,7 @@
         .collect()
 }
 
+/// Waits until exactly `count` attempts of `job` are running.
 async fn wait_running(system: &LocalSystem, job: &str, count: usize) {
     let running = || async {
         let histories = histories(system).await?;
@@ -57,7 +60,7 @@
     wait_until(&format!("{count} tasks of {job} run"), running).await;
 }
 
-/// The entry host that owns a shard with running tasks.
+/// Waits until an entry host owns a shard with running tasks, and returns its name.
 async fn owner_name(system: &LocalSystem) -> String {
     let owner = || async {
         for (name, host) in &system.hosts {
@@ -72,11 +75,11 @@
         }
         None
     };
-    wait_until("an entry host owns what runs", owner).await
+    wait_until("an entry host owns a shard with running tasks", owner).await
 }
 
-/// Waits until the entry hosts tell of as many owned shards as there are: none is between two owners, and no status is
-/// older than the last change of owners.
+/// Waits until the entry hosts together report exactly as many owned shards as exist: then no shard is between two owners,
+/// and no status is older than the last change of owners.
 async fn wait_shards_settled(system: &LocalSystem) {
     let settled = || async {
         let mut owned = 0;
@@ -89,7 +92,7 @@
     wait_until("each shard has one owner", settled).await;
 }
 
-/// Waits until the tasks of `job` have finished, as the remaining entry hosts tell it.
+/// Waits until the entry hosts that answer report together that exactly `tasks` tasks of `job` have finished.
 async fn wait_finished(system: &LocalSystem, job: &str, tasks: u64) {
     let finished = || async {
         let mut sum = 0;
@@ -113,7 +116,8 @@
     wait_until(&format!("{tasks} tasks of {job} have finished"), finished).await;
 }
 
-/// Each task of the job was started once over all its attempts; an attempt that was recorded but never sent counts none.
+/// Asserts that each task of the job was started exactly once over all its attempts; an attempt that was recorded but never
+/// sent to a worker doesn't count.
 async fn assert_ran_once(system: &LocalSystem, job: &str, tasks: usize) {
     let starts = starts_of(system, job).await;
     let mut started: Vec<&str> = starts
@@ -127,7 +131,8 @@
     assert_eq!(times, tasks as u64, "{starts:?}");
 }
 
-/// The owner is killed: its tasks run on, another host takes over, and each task finishes once.
+/// The owner is killed: its tasks keep running, another entry host takes over the shard, and each task is started
+/// once and finishes.
 async fn owner_is_killed() {
     let mut system = applied_system().await;
     apply(&system, "second", &set_with_long_job(4_000));
@@ -139,7 +144,8 @@
     assert_ran_once(&system, "long", 3).await;
 }
 
-/// The owner is frozen past its lease and thawed after another took over: nothing runs twice.
+/// The owner is frozen (SIGSTOP) until its shard lease has expired and the other entry host has taken over, and then
+/// continues: it notices that it lost the shard, and no task runs twice.
 async fn owner_is_frozen_and_thawed() {
     let system = applied_system().await;
     apply(&system, "second", &set_with_long_job(6_000));
@@ -161,7 +167,8 @@
     assert_ran_once(&system, "long", 3).await;
 }
 
-/// The platform loses every answer after the write took effect: the command tells the truth, and the job runs once.
+/// The platform commits every write but loses the answer: the operators' command still reports the accepted revision, and
+/// the job runs once.
 async fn platform_loses_answers() {
     let system = applied_system().await;
     let lossy = FaultPlan {
@@ -179,7 +186,8 @@
     assert_ran_once(&system, "long", 3).await;
 }
 
-/// The platform is down: requests and running tasks go on, keyed requests are refused at once, and it all recovers.
+/// The platform is down: requests are still served, running tasks continue to their end, and keyed requests are refused at
+/// once as not run. After the outage the job is reported as finished, and no task was started twice.
 async fn platform_is_down() {
     let system = applied_system().await;
     apply(&system, "second", &set_with_long_job(5_000));
@@ -208,27 +216,28 @@
     assert_ran_once(&system, "long", 3).await;
 }
 
-/// Operators race each other from the same revision: one wins, and each of the others is told who did.
+/// Six operators apply different sets to the same expected revision: one succeeds, and the error of each other names the new
+/// revision and its author.
 async fn operators_race() {
     let system = applied_system().await;
     let directories: Vec<String> = (0..6)
         .map(|number| {
             let text = SET.replace("\"tasks\": 4", &format!("\"tasks\": {}", number + 5));
-            let set = system.write_set(&format!("racer-{number}"), &text);
+            let set = system.write_set(&format!("operator-{number}"), &text);
             set.display().to_string()
         })
         .collect();
     let outputs: Vec<_> = std::thread::scope(|scope| {
-        let racers: Vec<_> = directories
+        let operators: Vec<_> = directories
             .iter()
             .map(|directory| {
                 let system = &system;
                 scope.spawn(move || system.command(&["apply", directory, "--expect", "1"]))
             })
             .collect();
-        racers
+        operators
             .into_iter()
-            .map(|racer| racer.join().expect("no racer panics"))
+            .map(|operator| operator.join().expect("no operator panics"))
             .collect()
     });
     let codes: Vec<_> = outputs
@@ -252,7 +261,7 @@
     }
 }
 
-/// A drained entry host hands its shards over, stops by itself, and no task is evicted.
+/// A drained entry host hands its shards over and exits by itself with code 0, and no task is evicted.
 async fn entry_host_is_drained() {
     let mut system = applied_system().await;
     apply(&system, "second", &set_with_long_job(4_000));
@@ -267,8 +276,9 @@
     assert_ran_once(&system, "long", 3).await;
 }
 
-/// A host that starts while the platform is down has nothing in force and says that it is not ready.
-async fn host_starts_in_an_outage() {
+/// An entry host that starts while the platform is down has no configuration in force: it reports that it is not ready and
+/// runs no request. It becomes ready after the outage.
+async fn entry_host_starts_during_outage() {
     let mut system = applied_system().await;
     let down = FaultPlan {
         down: true,
@@ -288,11 +298,11 @@
 }
 
 cases! {
-    kill_of_the_owner => block_on(owner_is_killed());
-    freeze_past_the_lease => block_on(owner_is_frozen_and_thawed());
-    lost_answers => block_on(platform_loses_answers());
+    owner_is_killed_while_tasks_run => block_on(owner_is_killed());
+    owner_is_frozen_past_its_lease => block_on(owner_is_frozen_and_thawed());
+    platform_loses_commit_answers => block_on(platform_loses_answers());
     platform_outage => block_on(platform_is_down());
-    one_operator_wins_a_race => block_on(operators_race());
-    drained_host_hands_over => block_on(entry_host_is_drained());
-    start_in_an_outage => block_on(host_starts_in_an_outage());
+    one_of_racing_operators_succeeds => block_on(operators_race());
+    drained_entry_host_releases_its_shards => block_on(entry_host_is_drained());
+    entry_host_starts_during_platform_outage => block_on(entry_host_starts_during_outage());
 }
--- a/crates/standin/tests/request_failures.rs
+++ b/crates/standin/tests/request_failures.rs
@@ -1,4 +1,5 @@
-//! What callers see of failures of real processes: planned stops, repeated keyed requests, bad answers, half-sent requests.
+//! Tests of what callers see when real processes fail: planned stops, repeated keyed requests, invalid answers of backend
+//! servers, incomplete requests.
 
 mod support;
 
@@ -18,7 +19,7 @@
 use support::{applied_system, apply, block_on, header, SET};
 
 /// Changes how a backend server stand-in behaves.
-async fn behave(worker: &WorkerHost, service_ms: u64, leaving: bool) {
+async fn set_behaviour(worker: &WorkerHost, service_ms: u64, leaving: bool) {
     let behaviour = BackendBehaviour {
         service_ms,
         leaving,
@@ -29,7 +30,7 @@
     set.expect("the stand-in's behaviour can be set");
 }
 
-/// Callers keep sending while an entry host stops as planned: every request that was taken in has its whole answer.
+/// Callers keep sending while an entry host is stopped as planned: every accepted request gets its complete answer.
 async fn planned_stop_under_load() {
     let mut system = applied_system().await;
     let host = system.hosts.remove("entry-1").expect("it was started");
@@ -48,11 +49,11 @@
     };
     wait_until("requests are answered", answered).await;
     for worker in system.workers.values() {
-        behave(worker, 700, false).await;
+        set_behaviour(worker, 700, false).await;
     }
     let mut process = host.process;
     process.signal("TERM");
-    // The balancer sends nothing more to a host that is not ready; what it has sent goes on.
+    // A load balancer sends no new requests to a host that is not ready; requests that it has already sent continue.
     let unready = || async {
         let url = format!("http://{}/ready", host.operator);
         let ready = Client::new().get(url).send().await.ok()?;
@@ -62,34 +63,37 @@
     stop.store(true, Ordering::Relaxed);
     let code = process.wait_end();
     for caller in callers {
-        let cut_off = caller.await.expect("no caller panics");
-        assert_eq!(cut_off, Vec::<String>::new());
+        let failures = caller.await.expect("no caller panics");
+        assert_eq!(failures, Vec::<String>::new());
     }
     assert_eq!(code, Some(0));
 }
 
-/// Sends requests with bodies over kept connections until it is told to stop; returns what was cut off.
+/// Sends requests with bodies over persistent connections until `stop` is set; returns a description of each request that
+/// failed or whose answer was incomplete. Answers with the verdict `not-run` are fine.
 async fn call_until_stopped(url: String, stop: &AtomicBool) -> Vec<String> {
     let client = Client::new();
     let body = "cold room ".repeat(2_000);
-    let mut cut_off = Vec::new();
+    let mut failures = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let sent = client.post(&url).body(body.clone()).send().await;
         match sent {
             Ok(answer) if answer.status() == 200 => match answer.text().await {
                 Ok(text) if text == body => {}
-                Ok(text) => cut_off.push(format!("{} of {} bytes", text.len(), body.len())),
-                Err(error) => cut_off.push(format!("answer: {error:?}")),
+                Ok(text) => failures.push(format!("{} of {} bytes", text.len(), body.len())),
+                Err(error) => failures.push(format!("answer: {error:?}")),
             },
             Ok(answer) if header(&answer, "sandshelf-verdict") == "not-run" => {}
-            Ok(answer) => cut_off.push(format!("status {}", answer.status())),
-            Err(error) => cut_off.push(format!("request: {error:?}")),
+            Ok(answer) => failures.push(format!("status {}", answer.status())),
+            Err(error) => failures.push(format!("request: {error:?}")),
         }
     }
-    cut_off
+    failures
 }
 
-/// A caller repeats a keyed request through every entry host: it runs once, and the others are told that it may have.
+/// A caller sends a keyed request twice through every entry host: it runs once, and each repetition is answered with the
+/// verdict that it may have run. With `lose_answers`, the platform also loses the answer to every commit, the claim of the
+/// key included.
 async fn keyed_request_repeated(lose_answers: bool) {
     let system = applied_system().await;
     let plan = FaultPlan {
@@ -126,10 +130,11 @@
     );
 }
 
-/// An entry host is killed while a keyed request is under way; its caller repeats it through another: it runs once.
+/// An entry host is killed while a keyed request runs, and the caller repeats the request through another entry host: the
+/// request runs only once.
 async fn keyed_request_outlives_its_host() {
     let mut system = applied_system().await;
-    behave(&system.workers["w-3"], 1_500, false).await;
+    set_behaviour(&system.workers["w-3"], 1_500, false).await;
     let client = Client::new();
     let first = system.hosts.remove("entry-1").expect("it was started");
     let url = format!("http://{}/settlement/9", first.caller);
@@ -159,26 +164,27 @@
     assert_eq!(history.expect("it answers")["ran"], 1);
 }
 
-/// What a backend server that breaks the rules of HTTP answers.
+/// How the answers of a backend server break the rules of HTTP.
 #[derive(Clone, Copy)]
-enum BadAnswer {
-    /// The body ends before its announced length.
-    CutShort,
-    /// Each answer comes twice.
-    Twice,
+enum InvalidAnswer {
+    /// The body ends before its declared length, and the connection is closed.
+    Truncated,
+    /// Each answer is sent twice.
+    Duplicated,
 }
 
-/// Serves one bad answer after the other on raw connections; each names the path that it answers.
-async fn serve_badly(listener: tokio::net::TcpListener, bad: BadAnswer) {
+/// Accepts connections and serves invalid answers on each; the body of an answer is the path of its request.
+async fn serve_invalid_answers(listener: tokio::net::TcpListener, invalid: InvalidAnswer) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        tokio::spawn(answer_badly(stream, bad));
+        tokio::spawn(send_invalid_answers(stream, invalid));
     }
 }
 
-async fn answer_badly(mut stream: tokio::net::TcpStream, bad: BadAnswer) {
+/// Answers each request of one connection with an invalid answer.
+async fn send_invalid_answers(mut stream: tokio::net::TcpStream, invalid: InvalidAnswer) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut text = vec![0_u8; 4_096];
     while let Ok(count) = stream.read(&mut text).await {
@@ -187,32 +193,32 @@
         }
         let head = String::from_utf8_lossy(&text[..count]).into_owned();
         let path = head.split_whitespace().nth(1).unwrap_or("").to_owned();
-        let whole = format!(
+        let valid = format!(
             "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{path}",
             path.len()
         );
-        let bytes = match bad {
-            BadAnswer::CutShort => whole[..whole.len() - 3].to_owned(),
-            BadAnswer::Twice => format!("{whole}{whole}"),
+        let bytes = match invalid {
+            InvalidAnswer::Truncated => valid[..valid.len() - 3].to_owned(),
+            InvalidAnswer::Duplicated => format!("{valid}{valid}"),
         };
         if stream.write_all(bytes.as_bytes()).await.is_err() {
             return;
         }
-        if matches!(bad, BadAnswer::CutShort) {
+        if matches!(invalid, InvalidAnswer::Truncated) {
             return;
         }
     }
 }
 
-/// Has the platform list a badly behaved backend server of a service that nobody else serves.
-async fn system_with_bad_server(bad: BadAnswer) -> LocalSystem {
+/// Starts a system in which a backend server with invalid answers is the only server of `settlement`.
+async fn system_with_invalid_server(invalid: InvalidAnswer) -> LocalSystem {
     let mut system = LocalSystem::start();
     system.add_worker("w-1", "north", "pricing", 5);
     system.add_host("entry-1", "north", support::LIMITS);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("a port is free");
     let entry = HostEntry {
-        name: "bad-server".to_owned(),
+        name: "invalid-server".to_owned(),
         kind: HostKind::Backend {
             service: ServiceId::from("settlement"),
             worker: WorkerId::from("w-1"),
@@ -222,11 +228,11 @@
         address: listener.local_addr().expect("it listens"),
         state: HostState::Live,
     };
-    tokio::spawn(serve_badly(listener, bad));
+    tokio::spawn(serve_invalid_answers(listener, invalid));
     let url = format!("http://{}/standin/hosts", system.platform_address);
     let sent = Client::new().post(url).json(&entry).send().await;
     let listed = sent.and_then(Response::error_for_status);
-    listed.expect("the stand-in lists it");
+    listed.expect("the stand-in accepts the host entry");
     apply(&system, "first", SET);
     system.wait_ready().await;
     let host = &system.hosts["entry-1"];
@@ -240,9 +246,10 @@
     system
 }
 
-/// An answer that ends early is no answer: what must not be repeated may have run, and nothing of it is handed on.
-async fn answer_is_cut_short() {
-    let system = system_with_bad_server(BadAnswer::CutShort).await;
+/// A truncated answer counts as no answer: a request that must not be repeated gets the verdict that it may have run, and no
+/// part of the truncated body is forwarded.
+async fn answer_is_truncated() {
+    let system = system_with_invalid_server(InvalidAnswer::Truncated).await;
     let url = format!("http://{}/settlement/1", system.hosts["entry-1"].caller);
     let answer = Client::new().get(url).send().await.expect("an answer");
     assert_eq!(answer.status(), 504);
@@ -251,25 +258,27 @@
     assert!(!body.contains("/settlement"), "{body}");
 }
 
-/// Answers that come twice on kept connections: each caller has the answer to its own request or none.
-async fn answer_comes_twice() {
-    let system = system_with_bad_server(BadAnswer::Twice).await;
+/// A backend server sends each answer twice on persistent connections: each caller gets the answer to its own request or
+/// none.
+async fn answer_is_duplicated() {
+    let system = system_with_invalid_server(InvalidAnswer::Duplicated).await;
     let client = Client::new();
-    let mut whole = 0;
+    let mut complete_answers = 0;
     for number in 0..60 {
         let path = format!("/settlement/{number}");
         let url = format!("http://{}{path}", system.hosts["entry-1"].caller);
         let answer = client.get(url).send().await.expect("an answer");
         if header(&answer, "sandshelf-verdict") == "ran" {
             assert_eq!(answer.text().await.expect("a body"), path);
-            whole += 1;
+            complete_answers += 1;
         }
     }
-    assert!(whole > 0, "no request was answered");
+    assert!(complete_answers > 0, "no request was answered");
 }
 
-/// A backend server refuses because it is leaving, while the platform's list still calls it live: callers notice nothing, and
-/// within one exchange of news no entry host sends it anything more.
+/// A backend server refuses requests because it is shutting down, while the platform's host list still shows it as live:
+/// every request still succeeds, and within one exchange of news between the entry hosts all of them stop sending it
+/// requests.
 async fn backend_server_leaves() {
     let system = applied_system().await;
     let frozen = FaultPlan {
@@ -278,7 +287,7 @@
     };
     system.set_faults(&frozen).await;
     let leaving = &system.workers["w-1"];
-    behave(leaving, 5, true).await;
+    set_behaviour(leaving, 5, true).await;
     let client = Client::new();
     let known_everywhere = || async {
         let mut known = 0;
@@ -294,7 +303,7 @@
         (known == system.hosts.len()).then_some(())
     };
     wait_until(
-        "every entry host knows that the server leaves",
+        "every entry host knows that the server is leaving",
         known_everywhere,
     )
     .await;
@@ -312,8 +321,9 @@
     assert_eq!(history.expect("it answers")["ran"], ran);
 }
 
-/// Half-sent and malformed requests take nothing from others, and slow ones end with a clear answer.
-async fn half_sent_requests() {
+/// Incomplete and malformed requests occupy no slots that other requests need. An incomplete body is answered with status
+/// 408 after the timeout, a body over the limit with 413; a malformed request is answered with 400 or closes the connection.
+async fn incomplete_requests() {
     let mut system = LocalSystem::start();
     system.add_worker("w-1", "north", "pricing", 1);
     let limits = r#""drain_ms": 100, "body_timeout_ms": 400, "max_body_bytes": 1000"#;
@@ -368,12 +378,12 @@
 }
 
 cases! {
-    planned_stop_under_load_cuts_nothing_off => block_on(planned_stop_under_load());
+    planned_stop_under_load_completes_answers => block_on(planned_stop_under_load());
     keyed_request_runs_at_most_once => block_on(keyed_request_repeated(false));
     keyed_request_survives_lost_claim_answers => block_on(keyed_request_repeated(true));
     keyed_request_survives_its_entry_host => block_on(keyed_request_outlives_its_host());
-    answer_cut_short_is_none => block_on(answer_is_cut_short());
-    answers_that_come_twice_reach_nobody_else => block_on(answer_comes_twice());
-    leaving_server_gets_nothing_new => block_on(backend_server_leaves());
-    half_sent_requests_take_no_slot => block_on(half_sent_requests());
+    truncated_answer_is_not_forwarded => block_on(answer_is_truncated());
+    duplicate_answers_reach_no_other_caller => block_on(answer_is_duplicated());
+    leaving_server_gets_no_new_requests => block_on(backend_server_leaves());
+    incomplete_requests_occupy_no_slot => block_on(incomplete_requests());
 }
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! A small system of processes that most tests start from.
+//! The small system of processes with which most tests start.
 
 #![allow(dead_code)]
 
 use reqwest::Response;
 use sandshelf_standin::harness::{wait_until, LocalSystem};
 
-/// The set that most tests use.
+/// The configuration set that most tests use.
 pub const SET: &str = r#"{
   "services": [
     { "name": "pricing", "repeatable": true, "deadline_ms": 5000, "tail_target_ms": 50,
@@ -19,16 +19,17 @@
       "repeatable": true, "run_ms": 200 }
   ]
 }"#;
-/// Short leases and stops.
+/// Settings of entry hosts with short leases and a short drain.
 pub const LIMITS: &str = r#""shard_lease_ms": 800, "task_lease_ms": 8000, "drain_ms": 400"#;
 
-/// Runs a test.
+/// Runs a test on a new runtime.
 pub fn block_on(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     runtime.block_on(test);
 }
 
-/// Two workers, a server of settlements, and two entry hosts.
+/// Starts two workers with servers of `pricing`, a worker with a server of `settlement`, and two entry hosts, in the halls
+/// north and south.
 pub fn small_system() -> LocalSystem {
     let mut system = LocalSystem::start();
     system.add_worker("w-1", "north", "pricing", 5);
@@ -39,7 +40,7 @@
     system
 }
 
-/// A small system with the set in force and slots shared.
+/// Starts the small system, applies [`SET`], and waits until it is in force and every entry host has a share of the slots.
 pub async fn applied_system() -> LocalSystem {
     let system = small_system();
     let set = system.write_set("first", SET);
@@ -55,7 +56,7 @@
     system
 }
 
-/// Waits until every entry host may use slots of the service.
+/// Waits until every entry host has a share of the slots of at least one backend server.
 pub async fn wait_for_shares(system: &LocalSystem) {
     for host in system.hosts.values() {
         let shared = || async {
@@ -68,13 +69,13 @@
     }
 }
 
-/// Reads a header of an answer.
+/// Returns a header of an answer; empty where the header is missing or not text.
 pub fn header<'a>(response: &'a Response, name: &str) -> &'a str {
     let value = response.headers().get(name);
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// Has an operator apply a set, and waits until it is in force.
+/// Applies a configuration set with the operators' command, and waits until it is in force.
 pub fn apply(system: &LocalSystem, name: &str, text: &str) {
     let set = system.write_set(name, text);
     let output = system.command(&["apply", &set.display().to_string(), "--wait", "30"]);
