--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small fakes of the platform's interfaces, sans-I/O; for tests, measurements and the stand-in processes.
+//! Small in-memory fakes of the platform's interfaces, without I/O; for tests, benchmarks and the stand-in processes.
 
 mod store;
 mod table;
@@ -6,4 +6,4 @@
 
 pub use store::{unanswered, FakeStore};
 pub use table::FakeTable;
-pub use worker::{FakeWorker, ProgramKind, RunningTask};
+pub use worker::{FakeWorker, ProgramKind, TaskAttempt};
