--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -41,7 +41,7 @@
     }
 
     /// Does nothing until a time.
-    pub fn stand_still(&mut self, until: Micros) {
+    pub fn block_until(&mut self, until: Micros) {
         self.free_at = self.free_at.max(until);
     }
 
--- a/crates/emulator/src/book.rs
+++ b/crates/emulator/src/catalog.rs
@@ -11,7 +11,7 @@
 /// By how much the work of single tasks differs from their job's, in percent, either way.
 const UNEVEN_PERCENT: u64 = 25;
 /// How long a start takes until a standing task is at work.
-pub const BEGIN_MS: Millis = 150;
+pub const STANDING_START_MS: Millis = 150;
 
 /// A job with what its caller doesn't know of it.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 
 /// All jobs by number.
 #[derive(Clone, Debug, Default)]
-pub struct JobBook {
+pub struct JobCatalog {
     seed: u64,
     jobs: HashMap<JobNumber, EmulatedJob>,
     /// Filling images whose runs all fail for now.
@@ -68,7 +68,7 @@
     number.parse().unwrap_or(0)
 }
 
-impl JobBook {
+impl JobCatalog {
     /// A book without jobs.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/emulator/src/host/calls.rs
+++ b/crates/emulator/src/host/calls.rs
@@ -6,7 +6,7 @@
 use sandshelf_model::{Epoch, WorkerId};
 
 use crate::queue::Micros;
-use crate::store::StoreAsk;
+use crate::store::StoreCall;
 
 /// How many orders, beside a hold, are under way to one worker, as in the daemon's calls.
 const ORDERS_AT_ONCE: u8 = 3;
@@ -26,7 +26,7 @@
     /// An order to a worker.
     Order(WorkerOrder),
     /// A question to the store.
-    Ask(StoreAsk),
+    Store(StoreCall),
 }
 
 /// An order of an owner for one incarnation of a worker.
@@ -45,7 +45,7 @@
     pub fn is_parked(&self) -> bool {
         match self {
             CallBody::Order(order) => matches!(order.call, WorkerCall::Renew(_)),
-            CallBody::Ask(ask) => ask.is_parked(),
+            CallBody::Store(ask) => ask.is_parked(),
         }
     }
 }
@@ -165,8 +165,8 @@
         let pages = self.open.iter().filter(|(_, call)| {
             matches!(
                 call.body,
-                CallBody::Ask(
-                    StoreAsk::ReadProgress(_) | StoreAsk::ReadShard | StoreAsk::ReadJobs(_)
+                CallBody::Store(
+                    StoreCall::ReadProgress(_) | StoreCall::ReadShard | StoreCall::ReadJobs(_)
                 )
             )
         });
@@ -178,7 +178,7 @@
     }
 
     /// All open connections fall silent.
-    pub fn fall_silent(&mut self) -> Vec<u64> {
+    pub fn silence_connections(&mut self) -> Vec<u64> {
         for connections in self.connections.values_mut() {
             connections.silent = connections.open > 0;
         }
--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -17,7 +17,7 @@
 };
 use crate::costs::{self, EventWeight};
 use crate::queue::{Micros, MS};
-use crate::store::{OwnerWrite, StoreAsk, StoreReply};
+use crate::store::{OwnerWrite, StoreCall, StoreReply};
 use crate::worker::place_of;
 
 // The durations of the daemon: `jobs/owner.rs`, `jobs/owner/claim.rs`, `jobs/owner/strength.rs` and `jobs/writer.rs`.
@@ -32,7 +32,7 @@
 
 /// The figures of an owner's scheduler.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnerFigures {
+pub struct OwnerStats {
     /// Its epoch.
     pub epoch: u64,
     /// What it counts.
@@ -107,9 +107,9 @@
         self.owned.is_some()
     }
 
-    pub(super) fn figures(&self, now: Micros) -> Option<OwnerFigures> {
+    pub(super) fn figures(&self, now: Micros) -> Option<OwnerStats> {
         let owned = self.owned.as_ref()?;
-        Some(OwnerFigures {
+        Some(OwnerStats {
             epoch: owned.scheduler.epoch(),
             counts: owned.scheduler.counts(now / MS),
         })
@@ -290,7 +290,7 @@
         }
         if !control.reading && now >= control.next_read && self.config.in_force().is_some() {
             self.control.reading = true;
-            self.ask(at, StoreAsk::ReadOwner, READ_PATIENCE_MS);
+            self.ask(at, StoreCall::ReadOwner, READ_PATIENCE_MS);
         }
     }
 
--- a/crates/emulator/src/host/follow.rs
+++ b/crates/emulator/src/host/follow.rs
@@ -10,7 +10,7 @@
     CallBody, EmulatedHost, HostAction, HostPause, RequestBody, TransferLimit, OUT_AFTER_FAILURES,
 };
 use crate::queue::{Micros, MS};
-use crate::store::{ConfigRow, StoreAsk, StoreReply};
+use crate::store::{ConfigRow, StoreCall, StoreReply};
 use crate::traffic::queue_rules;
 
 // The durations of the daemon: `jobs/queues.rs`, `jobs/intake.rs` and `jobs/accept.rs`.
@@ -44,26 +44,26 @@
 pub(super) fn is_config(body: &CallBody) -> bool {
     matches!(
         body,
-        CallBody::Ask(StoreAsk::ReadConfig | StoreAsk::FollowConfig(_))
+        CallBody::Store(StoreCall::ReadConfig | StoreCall::FollowConfig(_))
     )
 }
 
 impl EmulatedHost {
     /// An answer of the store has come, or none.
-    pub(super) fn take_reply(&mut self, at: Micros, ask: StoreAsk, reply: Option<StoreReply>) {
+    pub(super) fn take_reply(&mut self, at: Micros, ask: StoreCall, reply: Option<StoreReply>) {
         match ask {
-            StoreAsk::ReadOwner => self.take_row(at, reply),
-            StoreAsk::CheckWrite => self.take_check(at, reply),
-            StoreAsk::Write(_) => self.take_write(at, reply),
-            StoreAsk::ReadProgress(_) | StoreAsk::ReadShard | StoreAsk::ReadJobs(_) => {
+            StoreCall::ReadOwner => self.take_row(at, reply),
+            StoreCall::CheckWrite => self.take_check(at, reply),
+            StoreCall::Write(_) => self.take_write(at, reply),
+            StoreCall::ReadProgress(_) | StoreCall::ReadShard | StoreCall::ReadJobs(_) => {
                 self.take_page(at, reply);
             }
-            StoreAsk::FollowJobs(after) => self.take_jobs(at, after, reply),
-            StoreAsk::ListWorkers => self.take_workers(at, reply),
-            StoreAsk::ReadConfig | StoreAsk::FollowConfig(_) => self.take_config(at, reply),
-            StoreAsk::PutJob(request, ..)
-            | StoreAsk::PutCancel(request, _)
-            | StoreAsk::ReadJob(request, _) => {
+            StoreCall::FollowJobs(after) => self.take_jobs(at, after, reply),
+            StoreCall::ListWorkers => self.take_workers(at, reply),
+            StoreCall::ReadConfig | StoreCall::FollowConfig(_) => self.take_config(at, reply),
+            StoreCall::PutJob(request, ..)
+            | StoreCall::PutCancel(request, _)
+            | StoreCall::ReadJob(request, _) => {
                 let action = HostAction::Respond(request, reply.is_some());
                 self.actions.push((at, action));
             }
@@ -96,7 +96,7 @@
     /// Reads the configuration, and follows it from then on.
     pub(super) fn read_config(&mut self, at: Micros) {
         let patience = self.config_patience_ms();
-        self.ask(at, StoreAsk::ReadConfig, patience);
+        self.ask(at, StoreCall::ReadConfig, patience);
     }
 
     fn take_config(&mut self, at: Micros, reply: Option<StoreReply>) {
@@ -109,14 +109,14 @@
             self.config.current = Some(config);
         }
         let patience = CONFIG_WAIT_MS + self.config_patience_ms();
-        self.ask(at, StoreAsk::FollowConfig(self.config.after), patience);
+        self.ask(at, StoreCall::FollowConfig(self.config.after), patience);
     }
 
     /// Asks for new jobs and cancellations.
     pub(super) fn ask_for_jobs(&mut self, at: Micros, after: u64) {
         self.jobs_after = after;
         let patience = JOBS_WAIT_MS + FOLLOW_PATIENCE_MS;
-        self.ask(at, StoreAsk::FollowJobs(after), patience);
+        self.ask(at, StoreCall::FollowJobs(after), patience);
     }
 
     fn take_jobs(&mut self, at: Micros, after: u64, reply: Option<StoreReply>) {
@@ -140,7 +140,7 @@
     /// Reads the list of workers.
     pub(super) fn list_workers(&mut self, at: Micros) {
         self.listed_at = at;
-        self.ask(at, StoreAsk::ListWorkers, FOLLOW_PATIENCE_MS);
+        self.ask(at, StoreCall::ListWorkers, FOLLOW_PATIENCE_MS);
     }
 
     fn take_workers(&mut self, at: Micros, reply: Option<StoreReply>) {
@@ -168,10 +168,12 @@
     pub(super) fn take_request(&mut self, at: Micros, body: RequestBody) {
         let (request, ask) = match body {
             RequestBody::Submit(request, number, spec) => {
-                (request, StoreAsk::PutJob(request, number, spec))
+                (request, StoreCall::PutJob(request, number, spec))
             }
-            RequestBody::Cancel(request, number) => (request, StoreAsk::PutCancel(request, number)),
-            RequestBody::Show(request, number) => (request, StoreAsk::ReadJob(request, number)),
+            RequestBody::Cancel(request, number) => {
+                (request, StoreCall::PutCancel(request, number))
+            }
+            RequestBody::Show(request, number) => (request, StoreCall::ReadJob(request, number)),
         };
         let known = self.config.in_force().is_some();
         if !known || self.store_failures >= OUT_AFTER_FAILURES {
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -20,7 +20,7 @@
 pub use calls::{CallBody, CallPeer, WorkerOrder};
 use calls::{CallTable, CallWay, OpenCall};
 use control::OwnerControl;
-pub use control::{OwnerFigures, WALL_START_MS};
+pub use control::{OwnerStats, WALL_START_MS};
 use follow::ConfigFollower;
 pub use model::{HostFault, HostModel, HostStrength, TransferLimit};
 pub use work::{answer_event, CallAnswer, HostAction, HostPause, RequestBody, WorkItem};
@@ -30,7 +30,7 @@
 use crate::meter::SchedulerMeter;
 use crate::queue::{Micros, MS};
 use crate::sizes;
-use crate::store::{StoreAsk, StoreReply};
+use crate::store::{StoreCall, StoreReply};
 
 /// How often the control thread acts without any event.
 const TICK: Micros = 25 * MS;
@@ -79,7 +79,7 @@
     /// A host whose process doesn't run yet.
     pub fn new(index: usize, seed: u64, model: HostModel, max_lease_ms: Millis) -> Self {
         let name = format!("host-{index}");
-        let mut random = ChaCha8Rng::seed_from_u64(crate::book::mix(seed, index as u64 + 1));
+        let mut random = ChaCha8Rng::seed_from_u64(crate::catalog::mix(seed, index as u64 + 1));
         Self {
             control: OwnerControl::new(&name, 0, &model, max_lease_ms, &mut random),
             processor: ProcessorModel::new(model.processor_millis),
@@ -136,7 +136,7 @@
     }
 
     /// The figures of its scheduler, while it owns the shard.
-    pub fn owner_figures(&self, now: Micros) -> Option<OwnerFigures> {
+    pub fn owner_stats(&self, now: Micros) -> Option<OwnerStats> {
         self.control.figures(now)
     }
 
@@ -157,12 +157,12 @@
     }
 
     /// All open connections fall silent; returns the calls that will get no answer.
-    pub fn fall_silent(&mut self) -> Vec<u64> {
-        self.calls.fall_silent()
+    pub fn silence_connections(&mut self) -> Vec<u64> {
+        self.calls.silence_connections()
     }
 
     /// When the patience with a call is over; none where it has ended.
-    pub fn patience_until(&mut self, call: u64) -> Option<Micros> {
+    pub fn timeout_at(&mut self, call: u64) -> Option<Micros> {
         let limit = self.model.config_limit;
         let open = self.calls.get_mut(call)?;
         if let (true, TransferLimit::Stalled(most)) = (follow::is_config(&open.body), limit) {
@@ -260,7 +260,7 @@
                 at
             }
             WorkItem::Answered(call, answer, bytes) => {
-                let patience = self.patience_until(call);
+                let patience = self.timeout_at(call);
                 let (Some(patience), Some(open)) = (patience, self.calls.end(call)) else {
                     return self.processor.free_at().max(now);
                 };
@@ -315,9 +315,9 @@
                 };
                 events.push((order.epoch, event));
             }
-            CallBody::Ask(ask) => {
+            CallBody::Store(ask) => {
                 let reply = match answer {
-                    Some(CallAnswer::Store(StoreReply::TurnedAway)) | None => None,
+                    Some(CallAnswer::Store(StoreReply::Rejected)) | None => None,
                     Some(CallAnswer::Store(reply)) => Some(reply),
                     Some(CallAnswer::Worker(_)) => None,
                 };
@@ -343,7 +343,8 @@
         };
         let until = now + patience + wait;
         let (call, way) = self.calls.begin(now, peer, body.clone(), patience + wait);
-        self.actions.push((now, HostAction::Watch(call, until)));
+        self.actions
+            .push((now, HostAction::CheckTimeout(call, until)));
         match way {
             CallWay::Connects => {
                 let at = self.spend(now, costs::CONNECT_US);
@@ -358,7 +359,7 @@
     fn send_on(&mut self, now: Micros, call: u64, peer: CallPeer, body: CallBody, silent: bool) {
         let bytes = match &body {
             CallBody::Order(order) => sizes::worker_call(order.epoch, &order.call),
-            CallBody::Ask(ask) => ask.bytes(),
+            CallBody::Store(ask) => ask.bytes(),
         };
         let at = self.spend(now, costs::send_us(bytes));
         if !silent {
@@ -368,7 +369,7 @@
     }
 
     /// Asks the store.
-    fn ask(&mut self, now: Micros, ask: StoreAsk, patience_ms: Millis) {
-        self.send(now, CallPeer::Store, CallBody::Ask(ask), patience_ms * MS);
+    fn ask(&mut self, now: Micros, ask: StoreCall, patience_ms: Millis) {
+        self.send(now, CallPeer::Store, CallBody::Store(ask), patience_ms * MS);
     }
 }
--- a/crates/emulator/src/host/takeover.rs
+++ b/crates/emulator/src/host/takeover.rs
@@ -8,7 +8,7 @@
 
 use super::{EmulatedHost, HostFault};
 use crate::queue::Micros;
-use crate::store::{JobRow, StoreAsk, StoreReply, JOB_PARTS};
+use crate::store::{JobRow, StoreCall, StoreReply, JOB_PARTS};
 
 /// How long one page of rows is waited for, as in the daemon's `jobs/takeover.rs`.
 const PAGE_PATIENCE_MS: Millis = 1_500;
@@ -34,13 +34,13 @@
     /// Reads all that is durable of the shard: first what the owner before published, by which the workers can be held.
     pub(super) fn read_takeover(&mut self, at: Micros) {
         self.begin_reading();
-        self.ask(at, StoreAsk::ReadShard, PAGE_PATIENCE_MS);
+        self.ask(at, StoreCall::ReadShard, PAGE_PATIENCE_MS);
     }
 
     /// Reads what is durable of jobs, from the start.
     fn read_recorded(&mut self, at: Micros) {
         self.begin_reading();
-        self.ask(at, StoreAsk::ReadProgress(None), PAGE_PATIENCE_MS);
+        self.ask(at, StoreCall::ReadProgress(None), PAGE_PATIENCE_MS);
     }
 
     fn begin_reading(&mut self) {
@@ -73,7 +73,7 @@
                     reading.progress.extend(rows);
                 }
                 if let Some(last) = more {
-                    self.ask(at, StoreAsk::ReadProgress(Some(last)), PAGE_PATIENCE_MS);
+                    self.ask(at, StoreCall::ReadProgress(Some(last)), PAGE_PATIENCE_MS);
                     return;
                 }
                 reading.parts_left = (0..JOB_PARTS).collect();
@@ -113,7 +113,7 @@
         };
         if let Some(part) = reading.parts_left.pop_front() {
             reading.parts_open += 1;
-            self.ask(at, StoreAsk::ReadJobs(part), PAGE_PATIENCE_MS);
+            self.ask(at, StoreCall::ReadJobs(part), PAGE_PATIENCE_MS);
         }
     }
 
--- a/crates/emulator/src/host/work.rs
+++ b/crates/emulator/src/host/work.rs
@@ -74,7 +74,7 @@
     /// Sends a call of so many bytes.
     Send(u64, CallPeer, CallBody, u64),
     /// Looks again at a call when its patience is over.
-    Watch(u64, Micros),
+    CheckTimeout(u64, Micros),
     /// Goes on after a pause.
     Pause(HostPause, Micros),
     /// Ticks again.
--- a/crates/emulator/src/host/writes.rs
+++ b/crates/emulator/src/host/writes.rs
@@ -6,7 +6,7 @@
 
 use super::{EmulatedHost, HostAction, HostPause};
 use crate::queue::{Micros, MS};
-use crate::store::{OwnerWrite, StoreAsk, StoreReply};
+use crate::store::{OwnerWrite, StoreCall, StoreReply};
 
 // The durations of the daemon's `jobs/writer.rs`.
 const WRITE_PATIENCE_MS: Millis = 900;
@@ -26,7 +26,7 @@
             write: write.clone(),
             sent: at / MS,
         });
-        self.ask(at, StoreAsk::Write(Box::new(write)), WRITE_PATIENCE_MS);
+        self.ask(at, StoreCall::Write(Box::new(write)), WRITE_PATIENCE_MS);
     }
 
     /// Writes the batch that waits, or renews the ownership where that is due.
@@ -69,7 +69,7 @@
     /// Looks what became of a write that got no answer.
     pub(super) fn ask_for_write(&mut self, at: Micros) {
         if self.control.writing.is_some() {
-            self.ask(at, StoreAsk::CheckWrite, READ_PATIENCE_MS);
+            self.ask(at, StoreCall::CheckWrite, READ_PATIENCE_MS);
         }
     }
 
@@ -82,7 +82,7 @@
 
     fn write_again(&mut self, at: Micros) {
         if let Some(state) = &self.control.writing {
-            let ask = StoreAsk::Write(Box::new(state.write.clone()));
+            let ask = StoreCall::Write(Box::new(state.write.clone()));
             self.ask(at, ask, WRITE_PATIENCE_MS);
         }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -8,8 +8,8 @@
 //! Development only. It is a package of its own, beside the smaller emulator in the tests of `sandshelf-jobs`, because other
 //! tests and tools are to play days with it as well, and because it also needs `sandshelf-lease`.
 
-pub mod book;
 pub mod capacity;
+pub mod catalog;
 pub mod costs;
 pub mod day;
 pub mod days;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -128,7 +128,7 @@
     /// Counts a call that leaves.
     pub fn note(&mut self, body: &CallBody, bytes: u64) {
         let (count, sum) = match body {
-            CallBody::Ask(_) => (&mut self.asks, &mut self.store_bytes),
+            CallBody::Store(_) => (&mut self.asks, &mut self.store_bytes),
             CallBody::Order(order) => {
                 let count = match order.call {
                     WorkerCall::Renew(_) => &mut self.holds,
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -11,7 +11,7 @@
 /// The head of an answer: 130 bytes of 150 measured.
 const ANSWER_HEAD: u64 = 130;
 /// The head of a call to the store with its query.
-pub const STORE_CALL: u64 = 95;
+pub const STORE_CALL_BYTES: u64 = 95;
 /// The fields of a row beside its key and value.
 const ROW_FRAME: u64 = 60;
 /// One route of a configuration: 205 bytes.
--- a/crates/emulator/src/store/asks.rs
+++ b/crates/emulator/src/store/calls.rs
@@ -31,7 +31,7 @@
 
 /// What a host asks the store for.
 #[derive(Clone, Debug)]
-pub enum StoreAsk {
+pub enum StoreCall {
     /// The owner's row.
     ReadOwner,
     /// The owner's row, after a write without an answer.
@@ -60,23 +60,23 @@
     ReadJob(usize, JobNumber),
 }
 
-impl StoreAsk {
+impl StoreCall {
     /// Whether it waits at the store.
     pub fn is_parked(&self) -> bool {
-        matches!(self, StoreAsk::FollowJobs(_) | StoreAsk::FollowConfig(_))
+        matches!(self, StoreCall::FollowJobs(_) | StoreCall::FollowConfig(_))
     }
 
     /// Whether rows that feeds follow may change by it.
     pub fn changes_rows(&self) -> bool {
-        matches!(self, StoreAsk::PutJob(..) | StoreAsk::PutCancel(..))
+        matches!(self, StoreCall::PutJob(..) | StoreCall::PutCancel(..))
     }
 
     /// How many bytes it has.
     pub fn bytes(&self) -> u64 {
         match self {
-            StoreAsk::Write(write) => sizes::owner_write(&write.batch),
-            StoreAsk::PutJob(_, _, spec) => sizes::STORE_CALL + sizes::job_row(spec),
-            _ => sizes::STORE_CALL,
+            StoreCall::Write(write) => sizes::owner_write(&write.batch),
+            StoreCall::PutJob(_, _, spec) => sizes::STORE_CALL_BYTES + sizes::job_row(spec),
+            _ => sizes::STORE_CALL_BYTES,
         }
     }
 }
@@ -112,7 +112,7 @@
     /// Anything that shows no row.
     Done,
     /// Nothing was done.
-    TurnedAway,
+    Rejected,
 }
 
 impl JobRow {
--- a/crates/emulator/src/store/mod.rs
+++ b/crates/emulator/src/store/mod.rs
@@ -1,6 +1,6 @@
 //! The emulated store: rows of jobs, progress and ownership, each with its size, and feeds that wait for changes.
 
-mod asks;
+mod calls;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 use crate::queue::{Micros, MS};
 use crate::sizes;
-pub use asks::{ConfigRow, JobRow, OwnerWrite, StoreAsk, StoreReply};
+pub use calls::{ConfigRow, JobRow, OwnerWrite, StoreCall, StoreReply};
 
 /// How long an answer takes.
 const ANSWER_MS: Micros = 4;
@@ -138,10 +138,10 @@
     }
 
     /// Whether a feed has something to say.
-    pub fn has_news(&self, ask: &StoreAsk) -> bool {
+    pub fn has_changes(&self, ask: &StoreCall) -> bool {
         match ask {
-            StoreAsk::FollowJobs(after) => self.jobs.last().is_some_and(|row| row.0 > *after),
-            StoreAsk::FollowConfig(after) => self.config.0 > *after,
+            StoreCall::FollowJobs(after) => self.jobs.last().is_some_and(|row| row.0 > *after),
+            StoreCall::FollowConfig(after) => self.config.0 > *after,
             _ => true,
         }
     }
@@ -150,12 +150,12 @@
     pub fn answer(
         &mut self,
         now: Micros,
-        ask: &StoreAsk,
+        ask: &StoreCall,
         workers: &[WorkerListing],
     ) -> StoreAnswer {
         let part = match ask {
-            StoreAsk::Write(_) => Some(OWNER_PART),
-            StoreAsk::PutJob(_, number, _) | StoreAsk::PutCancel(_, number) => {
+            StoreCall::Write(_) => Some(OWNER_PART),
+            StoreCall::PutJob(_, number, _) | StoreCall::PutCancel(_, number) => {
                 Some(job_part(*number) as usize)
             }
             _ => None,
@@ -166,7 +166,7 @@
         };
         let Some(at) = at else {
             return StoreAnswer {
-                reply: StoreReply::TurnedAway,
+                reply: StoreReply::Rejected,
                 bytes: sizes::plain_answer(),
                 at: now + LONGEST_TURN,
             };
@@ -178,16 +178,16 @@
     fn reply(
         &mut self,
         now: Micros,
-        ask: &StoreAsk,
+        ask: &StoreCall,
         workers: &[WorkerListing],
     ) -> (StoreReply, u64) {
         match ask {
-            StoreAsk::ReadOwner | StoreAsk::CheckWrite => {
+            StoreCall::ReadOwner | StoreCall::CheckWrite => {
                 (StoreReply::Owner(self.owner.clone()), sizes::owner_row())
             }
-            StoreAsk::Write(write) => (self.write(write), sizes::plain_answer()),
-            StoreAsk::ReadProgress(behind) => self.progress_page(*behind),
-            StoreAsk::ReadShard => {
+            StoreCall::Write(write) => (self.write(write), sizes::plain_answer()),
+            StoreCall::ReadProgress(behind) => self.progress_page(*behind),
+            StoreCall::ReadShard => {
                 let bytes = sizes::owner_row() + self.shard.bytes.iter().sum::<u64>();
                 let clock = Self::clock_ms(now);
                 (
@@ -195,24 +195,24 @@
                     bytes,
                 )
             }
-            StoreAsk::ReadJobs(part) => self.job_rows(|row| job_part(row.1.number()) == *part),
-            StoreAsk::FollowJobs(after) => {
+            StoreCall::ReadJobs(part) => self.job_rows(|row| job_part(row.1.number()) == *part),
+            StoreCall::FollowJobs(after) => {
                 let newer = self.jobs.partition_point(|row| row.0 <= *after);
                 let first = self.jobs.get(newer).map_or(RowVersion::MAX, |row| row.0);
                 self.job_rows(|row| row.0 >= first)
             }
-            StoreAsk::ListWorkers => {
+            StoreCall::ListWorkers => {
                 let bytes = sizes::worker_list(workers.len());
                 (
                     StoreReply::Workers(workers.to_vec(), Self::clock_ms(now)),
                     bytes,
                 )
             }
-            StoreAsk::ReadConfig => {
+            StoreCall::ReadConfig => {
                 let bytes = sizes::config_row(self.config.1.routes);
                 (StoreReply::Config(self.config.1, self.version), bytes)
             }
-            StoreAsk::FollowConfig(after) => {
+            StoreCall::FollowConfig(after) => {
                 let changed = self.config.0 > *after;
                 let bytes = match changed {
                     true => sizes::config_row(self.config.1.routes),
@@ -220,15 +220,15 @@
                 };
                 (StoreReply::Config(self.config.1, self.version), bytes)
             }
-            StoreAsk::PutJob(_, number, spec) => {
+            StoreCall::PutJob(_, number, spec) => {
                 self.put_job(*number, spec);
                 (StoreReply::Done, sizes::plain_answer())
             }
-            StoreAsk::PutCancel(_, number) => {
+            StoreCall::PutCancel(_, number) => {
                 self.put_cancel(*number);
                 (StoreReply::Done, sizes::plain_answer())
             }
-            StoreAsk::ReadJob(..) => (StoreReply::Done, sizes::plain_answer() + 900),
+            StoreCall::ReadJob(..) => (StoreReply::Done, sizes::plain_answer() + 900),
         }
     }
 
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -7,7 +7,7 @@
 use sandshelf_jobs::{JobSpec, QueueRules};
 use sandshelf_model::Millis;
 
-use crate::book::EmulatedJob;
+use crate::catalog::EmulatedJob;
 use crate::deployment::JobClass;
 
 /// The most tasks of a step, in terms of the mean.
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -11,7 +11,7 @@
 };
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
-use crate::book::{JobBook, BEGIN_MS};
+use crate::catalog::{JobCatalog, STANDING_START_MS};
 use crate::interference::InterferenceModel;
 use crate::oracle::PlatformOracle;
 use crate::queue::{Micros, MS};
@@ -40,9 +40,9 @@
 
 /// A life of a worker and its clock, which starts anew with each.
 #[derive(Clone, Copy, Debug)]
-pub struct WorkerBirth {
+pub struct IncarnationClock {
     /// Which life it is.
-    pub life: WorkerIncarnation,
+    pub incarnation: WorkerIncarnation,
     /// When it began.
     pub at: Micros,
     /// What its clock shows then.
@@ -51,7 +51,7 @@
     pub clock_percent: u64,
 }
 
-impl WorkerBirth {
+impl IncarnationClock {
     fn clock(&self, now: Micros) -> u64 {
         self.clock + (now - self.at) * self.clock_percent / 100 / MS
     }
@@ -68,7 +68,7 @@
 pub struct EmulatedWorker {
     /// Its incarnation.
     pub id: WorkerId,
-    birth: WorkerBirth,
+    incarnation_clock: IncarnationClock,
     /// All that it has.
     pub capacity: ResourceSize,
     /// Since when it says that it leaves.
@@ -83,15 +83,15 @@
     ended: Vec<(Micros, EndReport)>,
     end_count: u64,
     lapsed_at: Micros,
-    settled_at: Micros,
+    advanced_at: Micros,
 }
 
 impl EmulatedWorker {
     /// A worker that has just started.
-    pub fn new(id: WorkerId, birth: WorkerBirth, capacity: ResourceSize) -> Self {
+    pub fn new(id: WorkerId, incarnation_clock: IncarnationClock, capacity: ResourceSize) -> Self {
         Self {
             id,
-            birth,
+            incarnation_clock,
             capacity,
             draining_since: None,
             hangs: false,
@@ -102,12 +102,12 @@
             ended: Vec::new(),
             end_count: 0,
             lapsed_at: 0,
-            settled_at: birth.at,
+            advanced_at: incarnation_clock.at,
         }
     }
 
     fn clock(&self, now: Micros) -> u64 {
-        self.birth.clock(now)
+        self.incarnation_clock.clock(now)
     }
 
     /// What its runs take of its room.
@@ -120,7 +120,7 @@
     }
 
     /// The runs at work, for the oracle when the worker dies.
-    pub fn live(&self) -> Vec<RunKey> {
+    pub fn running(&self) -> Vec<RunKey> {
         let keys = self.runs.iter();
         keys.map(|(task, run)| RunKey {
             task: *task,
@@ -130,23 +130,23 @@
     }
 
     /// Whether ends wait to be acknowledged.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_unacknowledged_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
     /// When something happens here next without an order.
     pub fn next_change(&self) -> Option<Micros> {
         let ends = self.runs.values();
-        let ends = ends.filter_map(|run| run.ends_at(self.settled_at));
-        let lapse = self.birth.after(self.lease_until);
+        let ends = ends.filter_map(|run| run.ends_at(self.advanced_at));
+        let lapse = self.incarnation_clock.after(self.lease_until);
         let lapse = (!self.runs.is_empty()).then_some(lapse);
         ends.chain(lapse).min()
     }
 
     /// Brings the runs up to the present; returns whether one has ended.
-    pub fn settle(&mut self, now: Micros, oracle: &mut PlatformOracle) -> bool {
-        let passed = now - self.settled_at;
-        self.settled_at = now;
+    pub fn advance(&mut self, now: Micros, oracle: &mut PlatformOracle) -> bool {
+        let passed = now - self.advanced_at;
+        self.advanced_at = now;
         for run in self.runs.values_mut() {
             run.work(passed);
         }
@@ -223,10 +223,15 @@
     }
 
     /// Carries an order out, or doesn't; the answer is what its sender learns.
-    pub fn take(&mut self, epoch: u64, call: &WorkerCall, scene: &mut WorkerScene<'_>) -> JobEvent {
+    pub fn handle_order(
+        &mut self,
+        epoch: u64,
+        call: &WorkerCall,
+        context: &mut WorkerContext<'_>,
+    ) -> JobEvent {
         let id = self.id.clone();
-        self.settle(scene.now, scene.oracle);
-        let clock = self.clock(scene.now);
+        self.advance(context.now, context.oracle);
+        let clock = self.clock(context.now);
         if epoch < self.fence {
             let refused = OrderAnswer::Refused(clock, RefusalReason::Fenced);
             return match call {
@@ -239,11 +244,11 @@
         self.fence = epoch;
         match call {
             WorkerCall::Start(start) => {
-                let answer = self.start(clock, start, scene);
+                let answer = self.start(clock, start, context);
                 JobEvent::StartAnswered(id, start.key, answer)
             }
             WorkerCall::Stop(key) => {
-                self.stop(scene.now, *key);
+                self.stop(context.now, *key);
                 JobEvent::StopAnswered(id, *key, OrderAnswer::Done(clock))
             }
             WorkerCall::Pace(key, percent) => {
@@ -251,19 +256,24 @@
                 JobEvent::PaceAnswered(id, *key, OrderAnswer::Done(clock))
             }
             WorkerCall::Renew(hold) => {
-                self.prolong(clock, hold, scene);
-                self.report(scene.now, scene.interference)
+                self.prolong(clock, hold, context);
+                self.report(context.now, context.interference)
             }
         }
     }
 
-    fn start(&mut self, clock: u64, call: &StartCall, scene: &mut WorkerScene<'_>) -> OrderAnswer {
+    fn start(
+        &mut self,
+        clock: u64,
+        call: &StartCall,
+        context: &mut WorkerContext<'_>,
+    ) -> OrderAnswer {
         if call.deadline < clock {
             return OrderAnswer::Refused(clock, RefusalReason::Late);
         }
         self.lease_until = self
             .lease_until
-            .max(call.deadline.min(clock + scene.max_lease_ms));
+            .max(call.deadline.min(clock + context.max_lease_ms));
         let task = call.key.task;
         let there = self.runs.get(&task).map(|run| run.run);
         if there == Some(call.key.run) {
@@ -276,10 +286,10 @@
         {
             return OrderAnswer::Refused(clock, RefusalReason::Superseded);
         }
-        let Some(facts) = scene.book.facts(&call.key) else {
-            scene
+        let Some(facts) = context.catalog.facts(&call.key) else {
+            context
                 .oracle
-                .started(scene.now / MS, &self.id, call.key, scene.in_touch);
+                .started(context.now / MS, &self.id, call.key, context.in_touch);
             return OrderAnswer::Invalid;
         };
         let wanted = self.used().plus(&facts.room);
@@ -288,11 +298,11 @@
         }
         if self
             .draining_since
-            .is_some_and(|since| scene.is_late_for(since))
+            .is_some_and(|since| context.is_late_for(since))
         {
-            scene
+            context
                 .oracle
-                .started_late(scene.now / MS, &self.id, call.key);
+                .started_late(context.now / MS, &self.id, call.key);
         }
         let saved = call
             .checkpoint
@@ -301,7 +311,7 @@
         let saved = saved.and_then(Result::ok).unwrap_or(0);
         let run = LiveRun {
             run: call.key.run,
-            began: scene.now,
+            began: context.now,
             left: facts.work_ms.saturating_sub(saved) * MS,
             fails_at: facts.fails_after_ms.map(|after| after * MS),
             done: 0,
@@ -313,9 +323,9 @@
         self.newest.insert(task, call.key.run);
         self.runs.insert(task, run);
         self.share_processors();
-        scene
+        context
             .oracle
-            .started(scene.now / MS, &self.id, call.key, scene.in_touch);
+            .started(context.now / MS, &self.id, call.key, context.in_touch);
         OrderAnswer::Done(clock)
     }
 
@@ -338,16 +348,16 @@
         }
     }
 
-    fn prolong(&mut self, clock: u64, hold: &RenewalCall, scene: &mut WorkerScene<'_>) {
+    fn prolong(&mut self, clock: u64, hold: &RenewalCall, context: &mut WorkerContext<'_>) {
         if let Some(deadline) = hold.deadline {
             self.lease_until = self
                 .lease_until
-                .max(deadline.min(clock + scene.max_lease_ms));
+                .max(deadline.min(clock + context.max_lease_ms));
         }
         for (at, end) in &self.ended {
             // An end whose worker's lease has run out since doesn't count as acknowledged.
             if end.number <= hold.last_seen && self.lapsed_at <= *at {
-                scene.oracle.acknowledged(end.key, end.outcome);
+                context.oracle.acknowledged(end.key, end.outcome);
             }
         }
         self.ended.retain(|(_, end)| end.number > hold.last_seen);
@@ -361,7 +371,7 @@
             let tail = serving.map(|task| interference.tail_ms(task, now / MS, &filling) as u64);
             let used = run.facts.cpu_millis * run.speed / 1_000;
             let total = (run.facts.work_ms * MS).max(1);
-            let at_work = now >= run.began + BEGIN_MS * MS;
+            let at_work = now >= run.began + STANDING_START_MS * MS;
             let percent = match run.facts.standing {
                 true => u64::from(at_work) * 100,
                 false => (total.saturating_sub(run.left)) * 99 / total,
@@ -377,7 +387,7 @@
             }
         });
         let report = RenewalReport {
-            incarnation: Some(self.birth.life),
+            incarnation: Some(self.incarnation_clock.incarnation),
             carrier_late_ms: 0,
             clock: self.clock(now),
             running: running.collect(),
@@ -388,7 +398,7 @@
 }
 
 /// What a worker's doing depends on and is told to.
-pub struct WorkerScene<'a> {
+pub struct WorkerContext<'a> {
     /// The time.
     pub now: Micros,
     /// The longest lease that it grants.
@@ -398,14 +408,14 @@
     /// Whether the sender has not been disturbed for some time.
     pub in_touch: bool,
     /// The jobs.
-    pub book: &'a JobBook,
+    pub catalog: &'a JobCatalog,
     /// How tasks disturb each other.
     pub interference: &'a InterferenceModel,
     /// Sees what happens.
     pub oracle: &'a mut PlatformOracle,
 }
 
-impl WorkerScene<'_> {
+impl WorkerContext<'_> {
     fn is_late_for(&self, draining_since: Micros) -> bool {
         self.in_touch && self.now > draining_since + self.drain_ms * MS
     }
--- a/crates/emulator/src/worker/run.rs
+++ b/crates/emulator/src/worker/run.rs
@@ -3,7 +3,7 @@
 use sandshelf_jobs::RunOutcome;
 use sandshelf_model::Millis;
 
-use crate::book::TaskFacts;
+use crate::catalog::TaskFacts;
 use crate::queue::{Micros, MS};
 
 /// How much work lies between two checkpoints.
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -5,12 +5,12 @@
 use sandshelf_model::Millis;
 
 use super::{EmulatedWorld, Happening};
-use crate::book::mix;
+use crate::catalog::mix;
 use crate::deployment::TaskKind;
 use crate::host::{RequestBody, WorkItem};
 use crate::queue::{Micros, MS};
 use crate::sizes;
-use crate::store::{StoreAsk, StoreReply};
+use crate::store::{StoreCall, StoreReply};
 
 /// How often a caller tries.
 const TRIES: u32 = 5;
@@ -117,7 +117,7 @@
         let host = ready[self.random.random_range(0..ready.len())];
         let bytes = match &body {
             RequestBody::Submit(_, _, spec) => sizes::submission(spec),
-            _ => sizes::STORE_CALL * 2,
+            _ => sizes::STORE_CALL_BYTES * 2,
         };
         let life = self.life_of(host);
         self.send_request(life, WorkItem::Request(body), bytes);
@@ -185,20 +185,20 @@
     }
 
     /// The store has done what it was asked for.
-    pub(super) fn note_stored(&mut self, ask: &StoreAsk, reply: &StoreReply) {
+    pub(super) fn note_stored(&mut self, ask: &StoreCall, reply: &StoreReply) {
         let now = self.now / MS;
         match (ask, reply) {
-            (StoreAsk::PutJob(_, number, spec), _) if !self.oracle.knows(*number) => {
+            (StoreCall::PutJob(_, number, spec), _) if !self.oracle.knows(*number) => {
                 self.oracle.accepted(*number, spec);
             }
-            (StoreAsk::PutCancel(_, number), _) => {
+            (StoreCall::PutCancel(_, number), _) => {
                 self.oracle.cancelled(now, *number);
                 let jobs = self.callers.jobs.iter_mut();
                 for job in jobs.filter(|job| job.number == *number) {
                     job.cancelled = true;
                 }
             }
-            (StoreAsk::Write(write), StoreReply::Written(_)) => {
+            (StoreCall::Write(write), StoreReply::Written(_)) => {
                 for (number, row) in &write.batch.progress {
                     self.oracle.shown(now, *number, row.stage);
                 }
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -10,7 +10,7 @@
 use crate::host::WorkerOrder;
 use crate::oracle::SoundRoom;
 use crate::queue::{Micros, MS};
-use crate::worker::{address_of, EmulatedWorker, WorkerBirth, WorkerScene};
+use crate::worker::{address_of, EmulatedWorker, IncarnationClock, WorkerContext};
 
 /// How long a worker that is gone stays listed: three of its reports.
 const GHOST: Micros = 3_300 * MS;
@@ -97,14 +97,14 @@
         self.incarnations += 1;
         let id = WorkerId::from(format!("i-{:08x}", self.incarnations));
         let rack = format!("r1-{}", place / self.rack);
-        let birth = WorkerBirth {
-            life: WorkerIncarnation(FIRST_LIFE_MS + self.incarnations as u64),
+        let birth = IncarnationClock {
+            incarnation: WorkerIncarnation(FIRST_LIFE_MS + self.incarnations as u64),
             at: 0,
             clock: 0,
             clock_percent: random.random_range(98..=100),
         };
         let entry = WorkerListing {
-            incarnation: Some(birth.life),
+            incarnation: Some(birth.incarnation),
             worker: id.clone(),
             service: "desk".to_owned(),
             address: address_of(place),
@@ -201,20 +201,20 @@
         let Some(worker) = &mut at.worker else {
             return;
         };
-        let mut scene = WorkerScene {
+        let mut scene = WorkerContext {
             now: self.now,
             max_lease_ms: self.deployment.max_lease_ms,
             drain_ms: self.deployment.bounds.drain_ms,
             in_touch,
-            book: &self.book,
+            catalog: &self.book,
             interference: &self.interference,
             oracle: &mut self.oracle,
         };
-        let event = worker.take(order.epoch, &order.call, &mut scene);
+        let event = worker.handle_order(order.epoch, &order.call, &mut scene);
         let hangs = worker.hangs;
         let waits = match (&order.call, &event) {
             (WorkerCall::Renew(hold), JobEvent::RenewalAnswered(_, RenewalAnswer::Report(_))) => {
-                hold.wait_ms * MS * u64::from(!worker.has_ended())
+                hold.wait_ms * MS * u64::from(!worker.has_unacknowledged_ends())
             }
             _ => 0,
         };
@@ -234,7 +234,7 @@
         let Some(worker) = &at.worker else {
             return;
         };
-        let ended = worker.has_ended();
+        let ended = worker.has_unacknowledged_ends();
         let (over, waiting) = std::mem::take(&mut at.holds)
             .into_iter()
             .partition(|hold| ended || now >= hold.until);
@@ -271,7 +271,7 @@
             at.due = Micros::MAX;
         }
         if let Some(worker) = &mut at.worker {
-            worker.settle(self.now, &mut self.oracle);
+            worker.advance(self.now, &mut self.oracle);
         }
         self.plan_worker(life.place);
     }
@@ -282,7 +282,7 @@
         let Some(worker) = at.worker.take() else {
             return;
         };
-        for key in worker.live() {
+        for key in worker.running() {
             self.oracle.ended(&worker.id, key, None);
         }
         at.life += 1;
@@ -305,8 +305,8 @@
     /// The worker at a place starts again under its name: it knows nothing of before, and its clock shows anything.
     pub(super) fn restart_worker(&mut self, place: usize) {
         self.fleet.incarnations += 1;
-        let birth = WorkerBirth {
-            life: WorkerIncarnation(FIRST_LIFE_MS + self.fleet.incarnations as u64),
+        let birth = IncarnationClock {
+            incarnation: WorkerIncarnation(FIRST_LIFE_MS + self.fleet.incarnations as u64),
             at: self.now,
             clock: self.random.random_range(0..MOST_CLOCK_MS),
             clock_percent: self.random.random_range(98..=100),
@@ -317,7 +317,7 @@
         }
         let id = at.entry.worker.clone();
         at.worker = Some(EmulatedWorker::new(id, birth, at.entry.capacity));
-        at.entry.incarnation = Some(birth.life);
+        at.entry.incarnation = Some(birth.incarnation);
         at.entry.draining = false;
         at.listed_until = Micros::MAX;
     }
--- a/crates/emulator/src/world/look.rs
+++ b/crates/emulator/src/world/look.rs
@@ -190,7 +190,7 @@
     fn look_at_owner(&mut self) {
         let now = self.now;
         let owners = (0..self.hosts.len()).filter_map(|host| {
-            let figures = self.hosts[host].owner_figures(now)?;
+            let figures = self.hosts[host].owner_stats(now)?;
             Some((figures.epoch, host, figures.counts))
         });
         if let Some((epoch, host, counts)) = owners.max_by_key(|(epoch, ..)| *epoch) {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -11,14 +11,14 @@
 use rand_chacha::ChaCha8Rng;
 use sandshelf_model::Millis;
 
-use crate::book::JobBook;
+use crate::catalog::JobCatalog;
 use crate::day::{DayEvent, DayPlan};
 use crate::deployment::Deployment;
 use crate::host::{EmulatedHost, HostAction, HostPause, RequestBody, WorkItem};
 use crate::interference::InterferenceModel;
 use crate::oracle::{HostOracle, PlatformOracle};
 use crate::queue::{EventQueue, Micros, MS};
-use crate::store::{EmulatedStore, StoreAsk};
+use crate::store::{EmulatedStore, StoreCall};
 use callers::CallerDesk;
 use cuts::HallMap;
 use fleet::{PlaceLife, WorkerFleet};
@@ -57,7 +57,7 @@
     /// An order reaches a worker.
     AtWorker(Box<AtWorker>),
     /// A question reaches the store.
-    AtStore(HostLife, u64, StoreAsk),
+    AtStore(HostLife, u64, StoreCall),
     /// A feed has waited long enough.
     FeedOver(HostLife, u64),
     /// Something is due at a worker.
@@ -100,8 +100,8 @@
     hosts: Vec<EmulatedHost>,
     fleet: WorkerFleet,
     store: EmulatedStore,
-    parked: Vec<(HostLife, u64, StoreAsk)>,
-    book: JobBook,
+    parked: Vec<(HostLife, u64, StoreCall)>,
+    book: JobCatalog,
     interference: InterferenceModel,
     callers: CallerDesk,
     watch: PlayWatch,
@@ -143,7 +143,7 @@
             fleet: WorkerFleet::new(&deployment, &mut random),
             store: EmulatedStore::default(),
             parked: Vec::new(),
-            book: JobBook::new(seed),
+            book: JobCatalog::new(seed),
             interference,
             callers: CallerDesk::default(),
             watch: PlayWatch::new(&deployment),
@@ -235,7 +235,7 @@
         let host = &mut self.hosts[life.host];
         if let WorkItem::GivenUp(call) = item {
             // Where bytes have come meanwhile, patience may last longer.
-            match host.patience_until(call) {
+            match host.timeout_at(call) {
                 Some(until) if until > self.now => {
                     self.queue.push(until, Happening::Reach(life, item));
                     return;
@@ -269,7 +269,7 @@
             HostAction::Send(call, peer, body, bytes) => {
                 self.send(life, call, peer, body, bytes);
             }
-            HostAction::Watch(call, at) => {
+            HostAction::CheckTimeout(call, at) => {
                 let item = WorkItem::GivenUp(call);
                 self.queue.push(at, Happening::Reach(life, item));
             }
--- a/crates/emulator/src/world/passage.rs
+++ b/crates/emulator/src/world/passage.rs
@@ -10,7 +10,7 @@
 use crate::host::{answer_event, CallAnswer, CallBody, CallPeer, WorkItem, WorkerOrder};
 use crate::queue::{Micros, MS};
 use crate::sizes;
-use crate::store::StoreAsk;
+use crate::store::StoreCall;
 
 /// How long a packet is on its way between halls.
 const WAY: Micros = 500;
@@ -84,7 +84,7 @@
                 }
                 arrives
             }
-            (_, CallBody::Ask(ask)) => Happening::AtStore(life, call, ask),
+            (_, CallBody::Store(ask)) => Happening::AtStore(life, call, ask),
             (CallPeer::Store, CallBody::Order(_)) => return,
         };
         let transfer = LinkTransfer {
@@ -212,13 +212,13 @@
     }
 
     /// A question reaches the store.
-    pub(super) fn at_store(&mut self, life: HostLife, call: u64, ask: StoreAsk) {
+    pub(super) fn at_store(&mut self, life: HostLife, call: u64, ask: StoreCall) {
         if self.now < self.store.silent_until {
             return;
         }
-        if ask.is_parked() && !self.store.has_news(&ask) {
+        if ask.is_parked() && !self.store.has_changes(&ask) {
             let wait_ms = match ask {
-                StoreAsk::FollowJobs(_) => JOBS_FEED_MS,
+                StoreCall::FollowJobs(_) => JOBS_FEED_MS,
                 _ => CONFIG_FEED_MS,
             };
             let over = Happening::FeedOver(life, call);
@@ -229,13 +229,13 @@
         self.answer_ask(life, call, &ask);
     }
 
-    fn answer_ask(&mut self, life: HostLife, call: u64, ask: &StoreAsk) {
+    fn answer_ask(&mut self, life: HostLife, call: u64, ask: &StoreCall) {
         let workers = match ask {
-            StoreAsk::ListWorkers => self.fleet.listed(self.now),
+            StoreCall::ListWorkers => self.fleet.listed(self.now),
             _ => Vec::new(),
         };
         let answer = self.store.answer(self.now, ask, &workers);
-        let turned_away = matches!(answer.reply, crate::store::StoreReply::TurnedAway);
+        let turned_away = matches!(answer.reply, crate::store::StoreReply::Rejected);
         if !turned_away {
             self.note_stored(ask, &answer.reply);
         }
@@ -257,9 +257,9 @@
         let parked = std::mem::take(&mut self.parked);
         let (told, waiting) = parked
             .into_iter()
-            .partition(|(_, _, ask)| store.has_news(ask));
+            .partition(|(_, _, ask)| store.has_changes(ask));
         self.parked = waiting;
-        let told: Vec<(HostLife, u64, StoreAsk)> = told;
+        let told: Vec<(HostLife, u64, StoreCall)> = told;
         for (life, call, ask) in told {
             self.answer_ask(life, call, &ask);
         }
--- a/crates/emulator/src/world/strike.rs
+++ b/crates/emulator/src/world/strike.rs
@@ -20,7 +20,7 @@
             DayEvent::Freeze(choice, for_ms) => {
                 let until = until(for_ms);
                 for host in self.chosen(choice) {
-                    self.hosts[host].processor.stand_still(until);
+                    self.hosts[host].processor.block_until(until);
                     self.watch.disturb_host(host, until);
                 }
             }
@@ -147,7 +147,7 @@
     fn silence(&mut self, host: usize) {
         let life = self.life_of(host);
         self.watch.disturb_host(host, self.now);
-        let lost = self.hosts[host].fall_silent();
+        let lost = self.hosts[host].silence_connections();
         self.parked
             .retain(|(from, call, _)| *from != life || !lost.contains(call));
         self.fleet.drop_holds(life);
