--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -1,21 +1,21 @@
-//! What a host has: a share of a processor core and a link, both used up in turn.
+//! Models the processor share and the link of a host; both serve their work one piece at a time.
 
 use crate::queue::{Micros, MS};
 
-/// A share of a core that does one thing after the other.
+/// A share of a processor core that works on one thing at a time, in the order of arrival.
 #[derive(Clone, Debug)]
 pub struct ProcessorModel {
-    /// What the host has of a core, in thousandths.
+    /// The host's share, in thousandths of a core.
     pub millis: u64,
-    /// How many times slower than usual it works, and until when.
+    /// Slowdown factor, and the time at which it ends.
     slow: (u64, Micros),
     free_at: Micros,
-    /// The core's time used so far.
+    /// Processor time used so far, in microseconds of a full core.
     pub used: Micros,
 }
 
 impl ProcessorModel {
-    /// A processor that is free.
+    /// Creates an idle processor with a share of `millis` thousandths of a core.
     pub fn new(millis: u64) -> Self {
         Self {
             millis,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Works for so much of a core's time as soon as it is free; returns when that is over.
+    /// Queues work of `core_time` on a full core; returns the time at which it is done.
     pub fn work(&mut self, now: Micros, core_time: Micros) -> Micros {
         self.used += core_time;
         let begins = self.free_at.max(now);
@@ -35,42 +35,42 @@
         self.free_at
     }
 
-    /// Works so many times slower until a time.
+    /// Divides the speed of work that begins before `until` by `times`.
     pub fn slow_down(&mut self, times: u64, until: Micros) {
         self.slow = (times, until);
     }
 
-    /// Does nothing until a time.
+    /// Begins no further work before `until`.
     pub fn block_until(&mut self, until: Micros) {
         self.free_at = self.free_at.max(until);
     }
 
-    /// Forgets all work: the process is over.
+    /// Drops all queued work, because the process has ended.
     pub fn reset(&mut self, now: Micros) {
         self.free_at = now;
     }
 
-    /// When it is free.
+    /// The time at which all queued work is done.
     pub fn free_at(&self) -> Micros {
         self.free_at
     }
 }
 
-/// The most bytes that one transfer sends before others get their turn: about what the platform's small windows hold.
+/// Bytes that one transfer sends before other transfers get their turn: about one of the platform's small windows.
 pub const CHUNK_BYTES: u64 = 16_384;
 
-/// One direction of a host's link; what is larger than a chunk shares it in turn with the rest.
+/// One direction of a host's link. Transfers larger than a chunk take turns on it.
 #[derive(Clone, Debug)]
 pub struct LinkModel {
-    /// What it carries, in bytes a millisecond.
+    /// Bandwidth, in bytes per millisecond.
     bytes_per_ms: u64,
     free_at: Micros,
-    /// The bytes carried so far.
+    /// Bytes sent so far.
     pub carried: u64,
 }
 
 impl LinkModel {
-    /// A link that is free; `kbit_per_s` is its bandwidth in thousandths of a megabit a second.
+    /// Creates an idle link with a bandwidth of `kbit_per_s` kilobits per second.
     pub fn new(kbit_per_s: u64) -> Self {
         Self {
             bytes_per_ms: kbit_per_s / 8,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Carries bytes as soon as it is free; returns when the last has left.
+    /// Queues bytes; returns the time at which the last one has been sent.
     pub fn carry(&mut self, now: Micros, bytes: u64) -> Micros {
         self.carried += bytes;
         let took = bytes * MS / self.bytes_per_ms.max(1);
@@ -87,12 +87,12 @@
         self.free_at
     }
 
-    /// How long a packet that is handed over now waits.
+    /// Queueing delay of a packet that is handed over at `now`, in milliseconds.
     pub fn queue_ms(&self, now: Micros) -> u64 {
         self.free_at.saturating_sub(now) / MS
     }
 
-    /// Drops what waits: the process at its end is over.
+    /// Drops all queued bytes, because the process has ended.
     pub fn reset(&mut self, now: Micros) {
         self.free_at = now;
     }
--- a/crates/emulator/src/catalog.rs
+++ b/crates/emulator/src/catalog.rs
@@ -1,4 +1,4 @@
-//! All jobs ever handed in, and what is true of their tasks but not said: how long they work and which runs fail.
+//! All jobs ever submitted, with the properties of their tasks that the scheduler is not told: run times and failing runs.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -8,53 +8,53 @@
 
 use crate::interference::ServingTask;
 
-/// By how much the work of single tasks differs from their job's, in percent, either way.
-const UNEVEN_PERCENT: u64 = 25;
-/// How long a start takes until a standing task is at work.
+/// The largest deviation of a task's run time from the run time of its job, up or down, in percent.
+const TASK_DEVIATION_PERCENT: u64 = 25;
+/// Time from the start of a standing task until it is running, in milliseconds.
 pub const STANDING_START_MS: Millis = 150;
 
-/// A job with what its caller doesn't know of it.
+/// A job with the properties that its caller does not know.
 #[derive(Clone, Debug)]
 pub struct EmulatedJob {
-    /// The job as handed in.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// How long its tasks work at full pace.
+    /// Mean run time of its tasks at full pace, in milliseconds.
     pub work_ms: Millis,
-    /// How many of a thousand runs fail.
+    /// Number of runs that fail, out of 1,000.
     pub failing: u64,
 }
 
-/// What a worker has to know of a task that it starts.
+/// The properties of a run that a worker needs to emulate it.
 #[derive(Clone, Debug)]
 pub struct TaskFacts {
-    /// What it takes of the worker's room.
+    /// Share of the worker's capacity that the task occupies.
     pub room: ResourceSize,
-    /// The processors it works on, in thousandths of a core.
+    /// Processor time that it uses at full pace, in thousandths of a core.
     pub cpu_millis: u64,
-    /// How long it works at full pace.
+    /// Run time at full pace, in milliseconds.
     pub work_ms: Millis,
-    /// Whether it takes only what others leave, and the number of its image.
+    /// The number of its image if it is a filling task, which uses only processor time that other tasks leave; else `None`.
     pub fills: Option<usize>,
-    /// Whether it works until it is stopped.
+    /// Whether it runs until it is stopped.
     pub standing: bool,
     /// Whether it writes checkpoints.
     pub checkpoints: bool,
-    /// What its tail depends on, where it serves.
+    /// Parameters of its tail latency if it is a serving task.
     pub serving: Option<ServingTask>,
-    /// After how much of its work this run fails; none where it doesn't.
+    /// Work after which this run fails, in milliseconds at full pace; `None` if it does not fail.
     pub fails_after_ms: Option<Millis>,
 }
 
-/// All jobs by number.
+/// All submitted jobs by number.
 #[derive(Clone, Debug, Default)]
 pub struct JobCatalog {
     seed: u64,
     jobs: HashMap<JobNumber, EmulatedJob>,
-    /// Filling images whose runs all fail for now.
+    /// Filling images of which every run currently fails.
     pub failing_images: HashSet<usize>,
 }
 
-/// A well-mixed number of two (the finaliser of SplitMix64).
+/// Hashes two numbers into one (the finaliser of SplitMix64).
 pub fn mix(left: u64, right: u64) -> u64 {
     let mut mixed = left ^ right.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -62,14 +62,14 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The number at the end of an image's name.
+/// The number after the last `-` in an image's name; 0 if there is none.
 pub fn image_number(image: &str) -> usize {
     let (_, number) = image.rsplit_once('-').unwrap_or_default();
     number.parse().unwrap_or(0)
 }
 
 impl JobCatalog {
-    /// A book without jobs.
+    /// Creates an empty catalog; `seed` determines the drawn run times and failures.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -77,32 +77,34 @@
         }
     }
 
-    /// Writes a job down.
+    /// Adds a job.
     pub fn add(&mut self, number: JobNumber, job: EmulatedJob) {
         self.jobs.insert(number, job);
     }
 
-    /// Finds a job.
+    /// Returns a job by its number.
     pub fn get(&self, number: JobNumber) -> Option<&EmulatedJob> {
         self.jobs.get(&number)
     }
 
+    /// A pseudo-random number that depends only on the seed, the task and `salt`.
     fn drawn(&self, task: &TaskKey, salt: u64) -> u64 {
         let place = u64::from(task.step) << 32 | u64::from(task.index);
         mix(mix(self.seed ^ salt, task.job.0), place)
     }
 
-    /// What is true of a run of a task; none where nobody handed the job in.
+    /// The properties of a run; `None` if its job was never submitted.
     pub fn facts(&self, key: &RunKey) -> Option<TaskFacts> {
         let task = &key.task;
         let job = self.jobs.get(&task.job)?;
         let step = job.spec.steps.get(task.step as usize)?;
         let image = image_number(&step.image);
-        let percent = 100 - UNEVEN_PERCENT + self.drawn(task, 1) % (2 * UNEVEN_PERCENT + 1);
+        let percent =
+            100 - TASK_DEVIATION_PERCENT + self.drawn(task, 1) % (2 * TASK_DEVIATION_PERCENT + 1);
         let work_ms = (job.work_ms * percent / 100).max(20);
         let drawn = mix(self.drawn(task, 2), key.run);
-        let grey = step.fills && self.failing_images.contains(&image);
-        let fails = grey || drawn % 1_000 < job.failing;
+        let image_fails = step.fills && self.failing_images.contains(&image);
+        let fails = image_fails || drawn % 1_000 < job.failing;
         let serving = ServingTask {
             job: task.job.0,
             image,
--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -1,85 +1,85 @@
-//! What each thing that a host does costs of a processor core.
+//! Processor time that each action of a host costs.
 //!
-//! Calls and their bytes were measured by `sandshelf-call-costs` (three runs on a machine that other work kept busy: the middle
-//! one, rounded), the scheduler's own time by `sandshelf-emulate --measure`. What a process pays for wake-ups and system calls
-//! on the users' platform comes on top; `PLATFORM_PERCENT` was set so that an owner of 490 workers uses what it was
-//! seen to use there on a day like the one played.
+//! The costs of calls and their bytes come from `sandshelf-call-costs` (rounded median of three runs on a busy machine), those
+//! of the scheduler from `sandshelf-emulate --measure`. On the users' platform a process also pays for wake-ups and system
+//! calls: `PLATFORM_PERCENT` is such that an owner of 490 workers uses as much processor time as it does there on a comparable
+//! day.
 
 use sandshelf_jobs::{JobAction, JobEvent, RenewalAnswer, WorkerCall};
 
 use crate::queue::Micros;
 
-/// By how much more than in the measurements everything costs, in percent.
+/// Cost on the users' platform in percent of the cost on the measuring machine.
 const PLATFORM_PERCENT: u64 = 170;
-/// An order or a hold and its answer, without what grows with their bytes: 40 us measured, half for each way.
+/// One direction of an order or lease renewal, without the cost per byte. Call and answer together take 40 us.
 const CALL_HALF_US: Micros = 20;
-/// A new connection beside its first call: 60 us measured.
+/// Opening a connection, without the first call over it: 60 us.
 pub const CONNECT_US: Micros = 60;
-/// A tick of the control thread with its timers: hosts at rest were seen to use 3.6 thousandths of a core for 40 a second.
+/// A tick of the control thread with its timers. Idle hosts use 3.6 thousandths of a core for 40 ticks a second.
 pub const TICK_US: Micros = 25;
-/// A call that is waited for in vain.
-const GIVE_UP_US: Micros = 15;
-/// A request of a caller with its head and answer, without the calls to the store that it leads to.
+/// Handling a call that timed out.
+const TIMEOUT_US: Micros = 15;
+/// A caller's request with its headers and its answer, without the calls to the store that it causes.
 pub const REQUEST_US: Micros = 120;
-/// The start of the process until it takes connections.
+/// Start of the process until it accepts connections.
 pub const LAUNCH_US: Micros = 5_000;
-/// Decoding of what a worker lists, by byte: 12 us for 590 bytes.
-const LIST_NS: u64 = 20;
-/// Decoding of rows, by byte: 2.3 ms for 459 KB of jobs, 1.2 ms for 183 KB of workers, 1.7 ms for 275 KB of configuration.
-const ROW_NS: u64 = 6;
-/// Encoding, by byte: 64 us for 23 KB of progress.
-const ENCODE_NS: u64 = 3;
+/// Decoding a worker's report, in nanoseconds per byte: 12 us for 590 bytes.
+const REPORT_BYTE_NS: u64 = 20;
+/// Decoding rows of the store, in nanoseconds per byte: 2.3 ms for 459 KB of jobs, 1.2 ms for 183 KB of workers, 1.7 ms for 275 KB of configuration.
+const ROW_BYTE_NS: u64 = 6;
+/// Encoding a call, in nanoseconds per byte: 64 us for 23 KB of progress.
+const ENCODE_BYTE_NS: u64 = 3;
 
-/// A step of the scheduler for any number of events: holds, places and writes are looked at. 3 us by the fit.
+/// Fixed cost of a scheduler step, for any number of events: checking renewals, placements and writes. 3 us by the fit.
 const STEP_US: Micros = 3;
-/// A tick's looks at each worker, in nanoseconds: 130 us by the fit at 490 workers.
+/// Checking one worker in a tick, in nanoseconds: 130 us for 490 workers by the fit.
 const TICK_WORKER_NS: u64 = 260;
-/// A run that a worker lists, in nanoseconds.
+/// One running task in a worker's report, in nanoseconds.
 const RUN_NS: u64 = 1_000;
-/// An end that it lists.
+/// One ended run in a worker's report.
 const END_US: Micros = 10;
-/// An answer to an order.
+/// An answer to an order, or another event without a list.
 const ORDER_ANSWER_US: Micros = 1;
-/// A job that is listed.
+/// A job that the store lists.
 const JOB_US: Micros = 10;
-/// A worker that is listed, in nanoseconds.
+/// One worker in the list of workers, in nanoseconds.
 const WORKER_NS: u64 = 800;
-/// An order to start, with the choice of its place.
+/// An order to start a run, with the choice of its worker.
 const START_US: Micros = 17;
-/// A look for places for waiting tasks.
+/// Fixed cost of a placement pass over the waiting tasks.
 const PASS_US: Micros = 180;
-/// Each task that waits at such a look, in nanoseconds.
+/// One waiting task in a placement pass, in nanoseconds.
 const WAITING_NS: u64 = 300;
-/// Any other call.
+/// Any other call or write.
 const CALL_US: Micros = 1;
 
-/// What it costs on the users' platform.
+/// Converts a measured cost to the cost on the users' platform.
 pub fn on_platform(measured: Micros) -> Micros {
     measured * PLATFORM_PERCENT / 100
 }
 
-/// Sending a call to a worker or to the store.
+/// Cost of sending a call of `bytes` bytes to a worker or to the store.
 pub fn send_us(bytes: u64) -> Micros {
-    CALL_HALF_US + bytes * ENCODE_NS / 1_000
+    CALL_HALF_US + bytes * ENCODE_BYTE_NS / 1_000
 }
 
-/// Taking in a worker's answer.
+/// Cost of receiving a worker's answer of `bytes` bytes.
 pub fn worker_answer_us(bytes: u64) -> Micros {
-    CALL_HALF_US + bytes * LIST_NS / 1_000
+    CALL_HALF_US + bytes * REPORT_BYTE_NS / 1_000
 }
 
-/// Taking in an answer of the store.
+/// Cost of receiving an answer of the store of `bytes` bytes.
 pub fn store_answer_us(bytes: u64) -> Micros {
-    CALL_HALF_US + bytes * ROW_NS / 1_000
+    CALL_HALF_US + bytes * ROW_BYTE_NS / 1_000
 }
 
-/// Giving up a call that got no answer in time.
+/// Cost of giving up a call that timed out.
 pub fn give_up_us() -> Micros {
-    GIVE_UP_US
+    TIMEOUT_US
 }
 
-/// The scheduler's own time for events taken in together, with the actions that they led to; `pass` is how many tasks
-/// waited where places for them were looked for.
+/// Cost of one scheduler step that handles `events` and returns `actions`. `pass` is the number of waiting tasks if the step
+/// included a placement pass, else `None`.
 pub fn scheduler_us(events: &[EventWeight], actions: &[JobAction], pass: Option<usize>) -> Micros {
     let events: Micros = events.iter().map(|event| event.0).sum();
     let actions: Micros = actions.iter().map(action_us).sum();
@@ -87,12 +87,12 @@
     STEP_US + events + actions + pass
 }
 
-/// What one event costs the scheduler.
+/// Processor time that the scheduler spends on one event, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct EventWeight(Micros);
 
 impl EventWeight {
-    /// By its kind, by how much it lists, and by how many workers the scheduler knows.
+    /// Derives the cost from the event's kind, the length of its lists, and the number of workers that the scheduler knows.
     pub fn of(event: &JobEvent, workers: usize) -> Self {
         EventWeight(match event {
             JobEvent::RenewalAnswered(_, RenewalAnswer::Report(report)) => {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Choosing a place, a pace, or what to write.
+/// Cost of producing one action: choosing a worker, a pace, or the content of a write.
 fn action_us(action: &JobAction) -> Micros {
     match action {
         JobAction::Call {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
-//! The users' platform in virtual time at its grown size.
+//! Simulates the users' platform in virtual time at production size.
 //!
-//! Hosts with bounded processors and links drive the product's own [`JobScheduler`](sandshelf_jobs::JobScheduler) and
-//! [`ShardLease`](sandshelf_lease::ShardLease) against an emulated store and workers. What a host does takes its processor's
-//! time, and what it sends or reads takes its link's: where it has too little of either, things queue up, and answers come
-//! after nobody waits for them any more. A play is the same each time.
+//! Hosts with limited processors and links run the product's own [`JobScheduler`](sandshelf_jobs::JobScheduler) and
+//! [`ShardLease`](sandshelf_lease::ShardLease) against an emulated store and emulated workers. Each action of a host takes
+//! processor time, and each byte that it sends or reads takes link time. Where a host has too little of either, work queues
+//! up, and answers arrive after their callers have timed out. A simulation with the same seed gives the same result each time.
 //!
-//! Development only. It is a package of its own, beside the smaller emulator in the tests of `sandshelf-jobs`, because other
-//! tests and tools are to play days with it as well, and because it also needs `sandshelf-lease`.
+//! For development only. The crate is separate from the smaller emulator in the tests of `sandshelf-jobs` because other tests
+//! and tools run simulated days with it as well, and because it also needs `sandshelf-lease`.
 
 pub mod capacity;
 pub mod catalog;
--- a/crates/emulator/src/meter.rs
+++ b/crates/emulator/src/meter.rs
@@ -1,4 +1,4 @@
-//! Measures what the scheduler's own time depends on, so that its costs can be written down.
+//! Measures the scheduler's processor time and fits it to a linear cost model, which supplies the constants of `costs`.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::costs::{scheduler_us, EventWeight};
 
-/// What a step's time is taken to depend on, in the order of its counts.
+/// Terms of the cost model, in the order of `MeasuredStep::counts`.
 const TERMS: [&str; 13] = [
     "step",
     "tick",
@@ -24,28 +24,28 @@
     "waiting task in a pass",
 ];
 
-/// One step of a scheduler as it was measured.
+/// The measurement of one scheduler step.
 #[derive(Clone, Debug)]
 pub struct MeasuredStep {
-    /// How often each term occurred.
+    /// Number of occurrences of each term.
     counts: [f64; TERMS.len()],
-    /// What it took, in microseconds.
+    /// Measured processor time, in microseconds.
     pub took_us: f64,
-    /// What it takes by the costs, in microseconds.
+    /// Processor time by the cost model in `costs`, in microseconds.
     pub costs_us: u64,
 }
 
-/// What was measured of a scheduler, beside what the costs say of the same.
+/// Measures the steps of a scheduler, if switched on.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerMeter {
-    /// Whether anything is measured.
+    /// Whether steps are measured.
     pub on: bool,
-    /// Each step.
+    /// The measured steps.
     pub steps: Vec<MeasuredStep>,
 }
 
 impl SchedulerMeter {
-    /// The processor time that this thread has used; 0 where nothing is measured.
+    /// Processor time used by the current thread; 0 if the meter is off.
     pub fn processor_time(&self) -> Duration {
         if !self.on {
             return Duration::ZERO;
@@ -54,7 +54,7 @@
         Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
     }
 
-    /// Counts what events a step takes in; none where nothing is measured.
+    /// Begins a measurement with the events that a step handles; `None` if the meter is off.
     pub fn begin(&self, events: &[JobEvent]) -> Option<MeasuredStep> {
         if !self.on {
             return None;
@@ -92,7 +92,8 @@
         })
     }
 
-    /// Notes what a step led to and took; `pass` is how many tasks waited where places were looked for.
+    /// Completes a measurement with the step's actions and processor time. `pass` is the number of waiting tasks if the step
+    /// included a placement pass, else `None`.
     pub fn end(
         &mut self,
         step: Option<MeasuredStep>,
@@ -124,7 +125,7 @@
     }
 }
 
-/// What each term costs by least squares, in microseconds.
+/// Cost of each term in microseconds, by a least-squares fit.
 pub fn fit(steps: &[MeasuredStep]) -> Vec<(&'static str, f64)> {
     const COUNT: usize = TERMS.len();
     let mut rows = [[0.0; COUNT + 1]; COUNT];
@@ -137,7 +138,7 @@
         }
     }
     for (index, row) in rows.iter_mut().enumerate() {
-        // A little weight on zero keeps terms that never occurred from spoiling the others.
+        // A small ridge term keeps terms that never occurred from making the system singular.
         row[index] += 1e-3;
     }
     for pivot in 0..COUNT {
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -1,19 +1,19 @@
-//! What is to happen, by time; what happens at one time happens in the order in which it was queued.
+//! Orders future events by time; events of the same time come in the order in which they were queued.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Virtual time in microseconds since the start of a play.
+/// Virtual time or a duration in microseconds; times count from the start of the simulation.
 pub type Micros = u64;
 
-/// Microseconds of a millisecond.
+/// Microseconds in a millisecond.
 pub const MS: Micros = 1_000;
 
 #[derive(Debug)]
 struct Entry<T> {
     at: Micros,
     number: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -31,13 +31,13 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The greatest entry is the next one.
+    /// The next entry compares as the greatest, because `BinaryHeap` is a max-heap.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// What is to happen, by time.
+/// A priority queue of future events.
 #[derive(Debug)]
 pub struct EventQueue<T> {
     entries: BinaryHeap<Entry<T>>,
@@ -54,21 +54,21 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Has something happen at a time.
-    pub fn push(&mut self, at: Micros, what: T) {
+    /// Queues an event for the time `at`.
+    pub fn push(&mut self, at: Micros, event: T) {
         self.count += 1;
         self.entries.push(Entry {
             at,
             number: self.count,
-            what,
+            event,
         });
     }
 
-    /// Takes the next happening, unless that is later than `until`.
+    /// Removes the next event with its time; `None` if there is none at or before `until`.
     pub fn pop_until(&mut self, until: Micros) -> Option<(Micros, T)> {
         if self.entries.peek()?.at > until {
             return None;
         }
-        self.entries.pop().map(|entry| (entry.at, entry.what))
+        self.entries.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/crates/emulator/src/sizes.rs
+++ b/crates/emulator/src/sizes.rs
@@ -1,4 +1,4 @@
-//! How many bytes messages have in their encoded form.
+//! Estimates the encoded sizes of messages and rows, in bytes.
 
 use sandshelf_jobs::{
     CommitBatch, EndReport, JobEvent, JobSpec, OrderAnswer, ProgressRow, RenewalAnswer,
@@ -6,30 +6,30 @@
 };
 use serde_json::to_vec;
 
-/// The head of a call to a worker: 150 bytes of 242 to 407 measured.
-const CALL_HEAD: u64 = 150;
-/// The head of an answer: 130 bytes of 150 measured.
-const ANSWER_HEAD: u64 = 130;
-/// The head of a call to the store with its query.
+/// Headers of a call to a worker: 150 of its 242 to 407 bytes.
+const CALL_HEAD_BYTES: u64 = 150;
+/// Headers of an answer: 130 of its 150 bytes.
+const ANSWER_HEAD_BYTES: u64 = 130;
+/// Headers of a call to the store, with the query.
 pub const STORE_CALL_BYTES: u64 = 95;
-/// The fields of a row beside its key and value.
-const ROW_FRAME: u64 = 60;
-/// One route of a configuration: 205 bytes.
+/// A row of the store without its key and value.
+const ROW_FRAME_BYTES: u64 = 60;
+/// One route of a configuration.
 const ROUTE_BYTES: u64 = 205;
-/// A configuration without routes.
-const CONFIG_FRAME: u64 = 450;
-/// One worker's entry: 353 bytes with its row; 373 bytes were measured at the stand-in, which also names the table.
-const WORKER_ROW: u64 = 353;
-/// The digits of a job's number.
+/// A configuration without its routes.
+const CONFIG_FRAME_BYTES: u64 = 450;
+/// One worker's entry with its row. The stand-in sends 373 bytes because it also names the table.
+const WORKER_ROW_BYTES: u64 = 353;
+/// Digits of a job's number.
 const JOB_DIGITS: u64 = 16;
-/// A write of the owner with its own row, without any other: 430 bytes.
-const OWNER_WRITE: u64 = 430;
+/// A write of the owner that contains only the owner's row.
+const OWNER_WRITE_BYTES: u64 = 430;
 
 fn digits(number: u64) -> u64 {
     u64::from(number.checked_ilog10().unwrap_or(0)) + 1
 }
 
-/// A text in the store's encoding of values.
+/// Length of a value in the store's encoding (base64).
 fn base64(length: u64) -> u64 {
     length.div_ceil(3) * 4
 }
@@ -43,10 +43,10 @@
     value.as_ref().map_or(0, |text| text.len() as u64)
 }
 
-/// The names and signs of an order to start beside its values, in the form that workers take.
+/// Field names and punctuation of an order to start a run, without the values.
 const START_NAMES_BYTES: usize = 60;
 
-/// A call to a worker.
+/// Size of a call to a worker.
 pub fn worker_call(epoch: u64, call: &WorkerCall) -> u64 {
     let body = match call {
         WorkerCall::Start(start) => {
@@ -60,11 +60,11 @@
         }
         WorkerCall::Stop(key) => 40 + task(&key.task) + digits(key.run),
         WorkerCall::Pace(key, _) => 56 + task(&key.task) + digits(key.run),
-        WorkerCall::Renew(hold) => {
-            60 + digits(hold.last_seen) + hold.deadline.map_or(0, |at| 15 + digits(at))
+        WorkerCall::Renew(renewal) => {
+            60 + digits(renewal.last_seen) + renewal.deadline.map_or(0, |at| 15 + digits(at))
         }
     };
-    CALL_HEAD + body + digits(epoch)
+    CALL_HEAD_BYTES + body + digits(epoch)
 }
 
 fn running(run: &RunReport) -> u64 {
@@ -83,41 +83,41 @@
     45 + lists + report.ended.iter().map(ended).sum::<u64>()
 }
 
-/// A worker's answer.
+/// Size of a worker's answer.
 pub fn worker_answer(event: &JobEvent) -> u64 {
     let body = match event {
         JobEvent::RenewalAnswered(_, RenewalAnswer::Report(listed)) => report(listed),
         JobEvent::StartAnswered(_, _, OrderAnswer::Refused(..)) => 38,
         _ => 20,
     };
-    ANSWER_HEAD + body
+    ANSWER_HEAD_BYTES + body
 }
 
-/// A row with a key and a value of some length, as the store sends it.
+/// Size of a row as the store sends it, from the lengths of its key and value.
 pub fn row(key: u64, value: u64) -> u64 {
-    ROW_FRAME + key + base64(value)
+    ROW_FRAME_BYTES + key + base64(value)
 }
 
 fn encoded<T: serde::Serialize>(value: &T) -> u64 {
     to_vec(value).map_or(0, |bytes| bytes.len() as u64)
 }
 
-/// A job's row.
+/// Size of a job's row.
 pub fn job_row(spec: &JobSpec) -> u64 {
     row(JOB_DIGITS, encoded(spec))
 }
 
-/// A row of progress.
+/// Size of a progress row.
 pub fn progress_row(progress: &ProgressRow) -> u64 {
     row(JOB_DIGITS, encoded(progress))
 }
 
-/// A job as its caller sends it: about what its row holds.
+/// Size of a job as its caller sends it: about that of its row.
 pub fn submission(spec: &JobSpec) -> u64 {
-    CALL_HEAD + encoded(spec)
+    CALL_HEAD_BYTES + encoded(spec)
 }
 
-/// A write of the owner.
+/// Size of a write of the owner.
 pub fn owner_write(batch: &CommitBatch) -> u64 {
     let progress = batch.progress.iter();
     let progress = progress.map(|(_, row)| progress_row(row)).sum::<u64>();
@@ -125,10 +125,10 @@
         .pending
         .as_ref()
         .map_or(0, |counts| row(7, encoded(counts)));
-    OWNER_WRITE + progress + published + shard_rows(batch)
+    OWNER_WRITE_BYTES + progress + published + shard_rows(batch)
 }
 
-/// The rows of the owner that a successor reads, as far as a batch writes them.
+/// Size of the roster, silence and interference rows in a batch, which the next owner reads.
 pub fn shard_rows(batch: &CommitBatch) -> u64 {
     let roster = batch
         .roster
@@ -137,27 +137,27 @@
     let silent = batch
         .silent
         .as_ref()
-        .map_or(0, |marks| row(6, encoded(marks)));
-    let strengths = batch.interference.as_ref();
-    roster + silent + strengths.map_or(0, |learnt| row(9, encoded(learnt)))
+        .map_or(0, |records| row(6, encoded(records)));
+    let interference = batch.interference.as_ref();
+    roster + silent + interference.map_or(0, |learnt| row(9, encoded(learnt)))
 }
 
-/// The answer of the store to anything that shows no row.
+/// Size of an answer of the store without rows.
 pub fn plain_answer() -> u64 {
-    ANSWER_HEAD + 60
+    ANSWER_HEAD_BYTES + 60
 }
 
-/// An answer of the store with the owner's row.
+/// Size of an answer of the store with the owner's row.
 pub fn owner_row() -> u64 {
     plain_answer() + row(5, 190)
 }
 
-/// A configuration of so many routes in its row.
+/// Size of an answer with a configuration of `routes` routes.
 pub fn config_row(routes: usize) -> u64 {
-    plain_answer() + row(6, CONFIG_FRAME + routes as u64 * ROUTE_BYTES)
+    plain_answer() + row(6, CONFIG_FRAME_BYTES + routes as u64 * ROUTE_BYTES)
 }
 
-/// The list of so many workers.
+/// Size of an answer that lists `workers` workers.
 pub fn worker_list(workers: usize) -> u64 {
-    plain_answer() + workers as u64 * WORKER_ROW
+    plain_answer() + workers as u64 * WORKER_ROW_BYTES
 }
