--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -74,7 +74,7 @@
 }
 
 /// Cost of giving up a call that timed out.
-pub fn give_up_us() -> Micros {
+pub fn timeout_us() -> Micros {
     TIMEOUT_US
 }
 
--- a/crates/emulator/src/host/calls.rs
+++ b/crates/emulator/src/host/calls.rs
@@ -1,4 +1,4 @@
-//! A host's calls to workers and to the store: which are open, on which connections, and which wait for their turn.
+//! Tracks a host's calls to workers and to the store: the open ones, their connections, and the orders that wait for a slot.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,129 +8,131 @@
 use crate::queue::Micros;
 use crate::store::StoreCall;
 
-/// How many orders, beside a hold, are under way to one worker, as in the daemon's calls.
+/// Concurrent orders to one worker, not counting a lease renewal; as in the daemon's calls.
 const ORDERS_AT_ONCE: u8 = 3;
 
-/// Whom a call goes to.
+/// The receiver of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallPeer {
-    /// The worker at a place.
+    /// A worker, by its index.
     Worker(usize),
     /// The store.
     Store,
 }
 
-/// What is called for.
+/// The content of a call.
 #[derive(Clone, Debug)]
 pub enum CallBody {
     /// An order to a worker.
     Order(WorkerOrder),
-    /// A question to the store.
+    /// A call to the store.
     Store(StoreCall),
 }
 
-/// An order of an owner for one incarnation of a worker.
+/// An order of a shard owner to a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerOrder {
     /// The owner's epoch.
     pub epoch: Epoch,
-    /// The incarnation.
+    /// The worker's name.
     pub worker: WorkerId,
     /// The order.
     pub call: WorkerCall,
 }
 
 impl CallBody {
-    /// Whether it waits there for something to happen, and is given up with the connections.
+    /// Whether the receiver holds the call until something changes (long poll). Such calls are given up together with the
+    /// connections to the receiver.
     pub fn is_parked(&self) -> bool {
         match self {
             CallBody::Order(order) => matches!(order.call, WorkerCall::Renew(_)),
-            CallBody::Store(ask) => ask.is_parked(),
+            CallBody::Store(store_call) => store_call.is_parked(),
         }
     }
 }
 
-/// A call without an end.
+/// A call that has neither been answered nor timed out.
 #[derive(Clone, Debug)]
 pub struct OpenCall {
-    /// Whom it went to.
+    /// The receiver.
     pub peer: CallPeer,
-    /// What it is for.
+    /// The content.
     pub body: CallBody,
-    /// From when on its answer isn't waited for.
+    /// The time at which the call times out.
     pub deadline: Micros,
-    /// When the last bytes of its answer came.
+    /// The time at which bytes of the answer last arrived.
     pub progress_at: Micros,
-    /// The connections that it was sent over, by their number.
+    /// The generation of connections that it was sent over.
     generation: u32,
 }
 
-/// The connections to one peer; they are given up together.
+/// The connections to one peer. They are given up together, which starts a new generation.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerConnections {
     generation: u32,
     open: u32,
     in_use: u32,
-    /// Whether those that are open have fallen silent.
+    /// Whether the open connections have stopped delivering without being closed.
     silent: bool,
 }
 
-/// How a call leaves.
+/// The connection that a call is sent over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallWay {
-    /// Over a connection that is open.
+pub enum CallPath {
+    /// An open connection.
     Open,
-    /// Over one that has fallen silent.
+    /// An open connection that no longer delivers.
     Silent,
-    /// Over a new one.
+    /// A new connection, which has to be opened first.
     Connects,
 }
 
-/// All calls of one life of a host.
+/// All calls of one process of a host.
 #[derive(Debug, Default)]
 pub struct CallTable {
     count: u64,
     open: HashMap<u64, OpenCall>,
     connections: HashMap<CallPeer, PeerConnections>,
-    turns: HashMap<usize, (u8, VecDeque<CallBody>)>,
+    /// By worker: the number of orders under way, and the orders that wait for a slot.
+    slots: HashMap<usize, (u8, VecDeque<CallBody>)>,
 }
 
 impl CallTable {
-    /// Opens a call; returns its number and how it leaves.
+    /// Adds a call; returns its number and the connection that it is sent over.
     pub fn begin(
         &mut self,
         now: Micros,
         peer: CallPeer,
         body: CallBody,
-        patience: Micros,
-    ) -> (u64, CallWay) {
+        timeout: Micros,
+    ) -> (u64, CallPath) {
         let connections = self.connections.entry(peer).or_default();
         connections.in_use += 1;
-        let way = match (connections.in_use > connections.open, connections.silent) {
-            (true, _) => CallWay::Connects,
-            (false, true) => CallWay::Silent,
-            (false, false) => CallWay::Open,
+        let path = match (connections.in_use > connections.open, connections.silent) {
+            (true, _) => CallPath::Connects,
+            (false, true) => CallPath::Silent,
+            (false, false) => CallPath::Open,
         };
         connections.open = connections.open.max(connections.in_use);
         let call = OpenCall {
             peer,
             body,
-            deadline: now + patience,
+            deadline: now + timeout,
             progress_at: now,
             generation: connections.generation,
         };
         self.count += 1;
         self.open.insert(self.count, call);
-        (self.count, way)
+        (self.count, path)
     }
 
-    /// Looks at an open call.
+    /// Returns an open call.
     pub fn get_mut(&mut self, call: u64) -> Option<&mut OpenCall> {
         self.open.get_mut(&call)
     }
 
-    /// Closes a call.
-    pub fn end(&mut self, call: u64) -> Option<OpenCall> {
+    /// Removes a call and frees its connection; `None` if it is not open.
+    pub fn close(&mut self, call: u64) -> Option<OpenCall> {
         let ended = self.open.remove(&call)?;
         if let Some(connections) = self.connections.get_mut(&ended.peer) {
             if connections.generation == ended.generation {
@@ -140,8 +142,9 @@
         Some(ended)
     }
 
-    /// Gives up all connections to the peer of a call without an answer; returns the parked calls that went with them.
-    pub fn renew(&mut self, ended: &OpenCall) -> Vec<u64> {
+    /// Gives up all connections to the peer of a call that timed out; returns the parked calls that were open on them, which the
+    /// caller has to end. Returns nothing if those connections have already been given up.
+    pub fn replace_connections(&mut self, ended: &OpenCall) -> Vec<u64> {
         let Some(connections) = self.connections.get_mut(&ended.peer) else {
             return Vec::new();
         };
@@ -160,7 +163,7 @@
         parked
     }
 
-    /// Drops the calls that read the pages of a takeover: their answers are of no use any more.
+    /// Drops the open calls that read pages of a takeover: reading starts again, so that their answers are obsolete.
     pub fn drop_pages(&mut self) {
         let pages = self.open.iter().filter(|(_, call)| {
             matches!(
@@ -173,11 +176,11 @@
         let mut pages: Vec<u64> = pages.map(|(number, _)| *number).collect();
         pages.sort_unstable();
         for page in pages {
-            self.end(page);
+            self.close(page);
         }
     }
 
-    /// All open connections fall silent.
+    /// Makes all open connections stop delivering; returns the numbers of all open calls.
     pub fn silence_connections(&mut self) -> Vec<u64> {
         for connections in self.connections.values_mut() {
             connections.silent = connections.open > 0;
@@ -187,8 +190,8 @@
         open
     }
 
-    /// A new owner talks to workers over connections of its own.
-    pub fn forget_workers(&mut self) {
+    /// Replaces the connections to all workers and drops the waiting orders: a new shard owner opens its own connections.
+    pub fn reset_worker_connections(&mut self) {
         for (peer, connections) in &mut self.connections {
             if matches!(peer, CallPeer::Worker(_)) {
                 *connections = PeerConnections {
@@ -197,12 +200,12 @@
                 };
             }
         }
-        self.turns.clear();
+        self.slots.clear();
     }
 
-    /// Takes a turn for an order; it comes back where it may leave now.
-    pub fn take_turn(&mut self, place: usize, body: CallBody) -> Option<CallBody> {
-        let (under_way, waiting) = self.turns.entry(place).or_default();
+    /// Takes a slot for an order to a worker. Returns the order if it may be sent now; otherwise it waits.
+    pub fn acquire_slot(&mut self, place: usize, body: CallBody) -> Option<CallBody> {
+        let (under_way, waiting) = self.slots.entry(place).or_default();
         if *under_way >= ORDERS_AT_ONCE {
             waiting.push_back(body);
             return None;
@@ -211,9 +214,9 @@
         Some(body)
     }
 
-    /// An order has its end: the next one that waits, if any.
-    pub fn give_turn(&mut self, place: usize) -> Option<CallBody> {
-        let (under_way, waiting) = self.turns.get_mut(&place)?;
+    /// Releases the slot of an ended order; returns the next waiting order, if any, which takes over the slot.
+    pub fn release_slot(&mut self, place: usize) -> Option<CallBody> {
+        let (under_way, waiting) = self.slots.get_mut(&place)?;
         let next = waiting.pop_front();
         if next.is_none() {
             *under_way = under_way.saturating_sub(1);
--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: claims the shard where nobody owns it, and runs its scheduler while this host does.
+//! Emulates the control thread: claims the shard when it has no owner, and runs its scheduler while this host owns it.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +10,7 @@
 use sandshelf_model::{HostId, Millis};
 
 use super::takeover::TakeoverReading;
-use super::writes::{WriteState, READ_PATIENCE_MS};
+use super::writes::{WriteState, READ_TIMEOUT_MS};
 use super::{
     CallBody, CallPeer, EmulatedHost, HostAction, HostFault, HostModel, HostStrength, WorkItem,
     WorkerOrder,
@@ -20,37 +20,39 @@
 use crate::store::{OwnerWrite, StoreCall, StoreReply};
 use crate::worker::place_of;
 
-// The durations of the daemon: `jobs/owner.rs`, `jobs/owner/claim.rs`, `jobs/owner/strength.rs` and `jobs/writer.rs`.
+// Same values as in the daemon: `jobs/owner.rs`, `jobs/owner/claim.rs`, `jobs/owner/strength.rs` and `jobs/writer.rs`.
 const SHARD_LEASE_MS: Millis = 1_200;
 const STAGGER_MS: Millis = 60;
 const WATCH_EVERY_MS: Millis = 400;
 const FIRST_CLAIM_FACTOR: u32 = 5;
 const KEEP_FINISHED_MS: Millis = 130_000;
 
-/// The time of day at the start of a play, in milliseconds since 1970.
+/// Wall-clock time at the start of a simulation, in milliseconds since 1970.
 pub const WALL_START_MS: Millis = 1_764_700_000_000;
 
-/// The figures of an owner's scheduler.
+/// Statistics of a shard owner's scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerStats {
-    /// Its epoch.
+    /// The owner's epoch.
     pub epoch: u64,
-    /// What it counts.
+    /// The scheduler's counts.
     pub counts: SchedulerCounts,
 }
 
+/// State of the shard that this host owns.
 #[derive(Debug)]
 pub(super) struct OwnedShard {
     pub(super) scheduler: JobScheduler,
+    /// Version of the configuration whose queues the scheduler knows.
     queues_version: u64,
-    /// How many workers were listed last.
+    /// Number of workers in the last list.
     workers: usize,
     tenure: OwnerTenure,
-    /// Until when the scheduler was last told that nobody can have followed this owner.
+    /// The last time sent to the scheduler up to which no other host can have become the owner, in milliseconds.
     sure_until: Millis,
 }
 
-/// What the control thread of one life of a host holds.
+/// State of the control thread of one process of a host.
 #[derive(Debug)]
 pub(super) struct OwnerControl {
     id: HostId,
@@ -71,12 +73,12 @@
 impl OwnerControl {
     pub(super) fn new(
         name: &str,
-        life: u32,
+        incarnation: u32,
         model: &HostModel,
         max_lease_ms: Millis,
         random: &mut ChaCha8Rng,
     ) -> Self {
-        let id = HostId::from(format!("{name}.{life:016x}"));
+        let id = HostId::from(format!("{name}.{incarnation:016x}"));
         let times = LeaseTimes {
             stagger_ms: STAGGER_MS,
             ..LeaseTimes::derive(SHARD_LEASE_MS, max_lease_ms, Millis::MAX / 4)
@@ -107,7 +109,7 @@
         self.owned.is_some()
     }
 
-    pub(super) fn figures(&self, now: Micros) -> Option<OwnerStats> {
+    pub(super) fn stats(&self, now: Micros) -> Option<OwnerStats> {
         let owned = self.owned.as_ref()?;
         Some(OwnerStats {
             epoch: owned.scheduler.epoch(),
@@ -115,14 +117,14 @@
         })
     }
 
-    pub(super) fn lose_all(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.owned = None;
         self.writing = None;
         self.takeover = None;
     }
 
-    /// Whether the shard's owner is an earlier life of this host.
-    fn follows_itself(&self) -> bool {
+    /// Whether an earlier process of this host is the recorded owner, so that this one may claim at once. Weak hosts never do.
+    fn owner_is_earlier_process(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
         let earlier = owner.is_some_and(|owner| {
@@ -154,7 +156,7 @@
             self.check_tenure(at);
             self.refresh_queues(at);
             let wall_ms = WALL_START_MS + at / MS;
-            self.take_events(at, vec![JobEvent::Tick { wall_ms }]);
+            self.handle_events(at, vec![JobEvent::Tick { wall_ms }]);
         }
         self.write_next(at);
         if *self.control.lease.stage() == LeaseStage::Watching {
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Tells the scheduler until when nobody can have followed this owner. Hosts don't talk to one another here, so that none speaks for an owner
-    /// in an outage that all share.
+    /// Notifies the scheduler up to which time no other host can have become the owner. Hosts don't talk to each other here, so
+    /// that no quorum of hosts extends this time during a store outage that all of them share.
     fn check_tenure(&mut self, at: Micros) {
         let renewed_at = self.control.lease.last_renewal();
         let (Some(renewed_at), Some(owned)) = (renewed_at, &mut self.control.owned) else {
@@ -173,7 +175,7 @@
         let until = owned.tenure.sure_until();
         if owned.sure_until != until && self.model.fault != HostFault::NeverUnsure {
             owned.sure_until = until;
-            self.take_events(at, vec![JobEvent::SureUntil(until)]);
+            self.handle_events(at, vec![JobEvent::SureUntil(until)]);
         }
     }
 
@@ -185,12 +187,12 @@
         if owned.queues_version != version {
             owned.queues_version = version;
             let queues = self.config.rules();
-            self.take_events(at, vec![JobEvent::QueuesChanged(queues)]);
+            self.handle_events(at, vec![JobEvent::QueuesChanged(queues)]);
         }
     }
 
-    /// Has the scheduler take events in, and does what it asks for.
-    pub(super) fn take_events(&mut self, at: Micros, events: Vec<JobEvent>) {
+    /// Passes events to the scheduler and carries out its actions.
+    pub(super) fn handle_events(&mut self, at: Micros, events: Vec<JobEvent>) {
         let Some(owned) = &mut self.control.owned else {
             return;
         };
@@ -220,7 +222,7 @@
     fn act(&mut self, at: Micros, action: JobAction) {
         match action {
             JobAction::Note(note) => self.actions.push((at, HostAction::Noted(note))),
-            JobAction::Deposed => self.lose(),
+            JobAction::Deposed => self.step_down(),
             JobAction::Commit(batch) => {
                 self.control.waiting_batch = Some(batch);
                 self.write_next(at);
@@ -238,15 +240,15 @@
                     return;
                 }
                 let place = place_of(address);
-                let is_hold = matches!(call, WorkerCall::Renew(_));
+                let is_renewal = matches!(call, WorkerCall::Renew(_));
                 let order = WorkerOrder {
                     epoch,
                     worker,
                     call,
                 };
                 let mut body = Some(CallBody::Order(order));
-                if !is_hold {
-                    body = body.and_then(|body| self.calls.take_turn(place, body));
+                if !is_renewal {
+                    body = body.and_then(|body| self.calls.acquire_slot(place, body));
                 }
                 if let Some(body) = body {
                     let peer = CallPeer::Worker(place);
@@ -256,8 +258,8 @@
         }
     }
 
-    /// Stops owning the shard at once, without a word to the store.
-    pub(super) fn lose(&mut self) {
+    /// Stops owning the shard at once, without writing to the store.
+    pub(super) fn step_down(&mut self) {
         self.control.owned = None;
         self.control.waiting_batch = None;
         self.control.takeover = None;
@@ -269,11 +271,12 @@
         format!("{:016x}", self.random.next_u64())
     }
 
-    /// Reads the owner's row from time to time, and claims the shard where its owner is gone.
+    /// Reads the owner's row periodically, and claims the shard when its owner's lease has run out.
     fn watch(&mut self, at: Micros) {
         let now = at / MS;
         let control = &self.control;
-        let free = control.lease.may_claim(now, control.claim_rank()) || control.follows_itself();
+        let free = control.lease.may_claim(now, control.claim_rank())
+            || control.owner_is_earlier_process();
         if free && control.writing.is_none() {
             let token = self.token();
             self.control.claimed_at = now;
@@ -290,11 +293,11 @@
         }
         if !control.reading && now >= control.next_read && self.config.in_force().is_some() {
             self.control.reading = true;
-            self.ask(at, StoreCall::ReadOwner, READ_PATIENCE_MS);
+            self.call_store(at, StoreCall::ReadOwner, READ_TIMEOUT_MS);
         }
     }
 
-    pub(super) fn take_row(&mut self, at: Micros, reply: Option<StoreReply>) {
+    pub(super) fn handle_owner_row(&mut self, at: Micros, reply: Option<StoreReply>) {
         let now = at / MS;
         self.control.reading = false;
         self.control.next_read = now + WATCH_EVERY_MS;
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Holds the workers from now on, by what the owner before published.
+    /// Begins to own the shard and to renew the workers' leases, from the state that the previous owner published.
     pub(super) fn take_over(&mut self, at: Micros, info: TakeoverInfo) {
         if *self.control.lease.stage() != LeaseStage::Recovering {
             return;
@@ -328,7 +331,7 @@
             wall_ms: WALL_START_MS + at / MS,
             ..info
         };
-        self.calls.forget_workers();
+        self.calls.reset_worker_connections();
         self.control.owned = Some(OwnedShard {
             scheduler: JobScheduler::new(limits, info),
             queues_version: 0,
@@ -339,6 +342,6 @@
         self.list_workers(at);
         self.refresh_queues(at);
         let wall_ms = WALL_START_MS + at / MS;
-        self.take_events(at, vec![JobEvent::Tick { wall_ms }]);
+        self.handle_events(at, vec![JobEvent::Tick { wall_ms }]);
     }
 }
--- a/crates/emulator/src/host/follow.rs
+++ b/crates/emulator/src/host/follow.rs
@@ -1,4 +1,4 @@
-//! What a host follows: the configuration; as an owner, new jobs and the list of workers; and what callers ask of it.
+//! Follows the configuration and, as the shard owner, new jobs and the list of workers; serves callers' requests.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,37 @@
 
 use super::takeover::job_events;
 use super::{
-    CallBody, EmulatedHost, HostAction, HostPause, RequestBody, TransferLimit, OUT_AFTER_FAILURES,
+    CallBody, EmulatedHost, HostAction, HostPause, RequestBody, TransferLimit,
+    REFUSE_AFTER_FAILURES,
 };
 use crate::queue::{Micros, MS};
 use crate::store::{ConfigRow, StoreCall, StoreReply};
 use crate::traffic::queue_rules;
 
-// The durations of the daemon: `jobs/queues.rs`, `jobs/intake.rs` and `jobs/accept.rs`.
+// Same values as in the daemon: `jobs/queues.rs`, `jobs/intake.rs` and `jobs/accept.rs`.
 pub(super) const CONFIG_WAIT_MS: Millis = 900;
-const CONFIG_RETRY: Micros = 150 * MS;
+const CONFIG_RETRY_DELAY: Micros = 150 * MS;
 const JOBS_WAIT_MS: Millis = 1_000;
-const FOLLOW_PATIENCE_MS: Millis = 700;
-const FOLLOW_RETRY: Micros = 100 * MS;
-const LIST_PAUSE: Micros = 700 * MS;
-const REQUEST_PATIENCE_MS: Millis = 1_200;
+const FOLLOW_TIMEOUT_MS: Millis = 700;
+const FOLLOW_RETRY_DELAY: Micros = 100 * MS;
+const LIST_INTERVAL: Micros = 700 * MS;
+const REQUEST_TIMEOUT_MS: Millis = 1_200;
 
-/// The configuration in force.
+/// The host's copy of the configuration.
 #[derive(Debug, Default)]
 pub(super) struct ConfigFollower {
     current: Option<ConfigRow>,
+    /// The store version after which changes are asked for.
     after: u64,
 }
 
 impl ConfigFollower {
+    /// The configuration in force; `None` before the first one was read.
     pub(super) fn in_force(&self) -> Option<&ConfigRow> {
         self.current.as_ref()
     }
 
-    /// The rules of all its queues.
+    /// The rules of all queues in the configuration.
     pub(super) fn rules(&self) -> BTreeMap<String, QueueRules> {
         queue_rules(self.current.map_or(0, |config| config.routes))
     }
@@ -49,18 +52,23 @@
 }
 
 impl EmulatedHost {
-    /// An answer of the store has come, or none.
-    pub(super) fn take_reply(&mut self, at: Micros, ask: StoreCall, reply: Option<StoreReply>) {
-        match ask {
-            StoreCall::ReadOwner => self.take_row(at, reply),
-            StoreCall::CheckWrite => self.take_check(at, reply),
-            StoreCall::Write(_) => self.take_write(at, reply),
+    /// Handles the end of a call to the store; `reply` is `None` if it failed or timed out.
+    pub(super) fn handle_reply(
+        &mut self,
+        at: Micros,
+        store_call: StoreCall,
+        reply: Option<StoreReply>,
+    ) {
+        match store_call {
+            StoreCall::ReadOwner => self.handle_owner_row(at, reply),
+            StoreCall::CheckWrite => self.handle_check(at, reply),
+            StoreCall::Write(_) => self.handle_write_reply(at, reply),
             StoreCall::ReadProgress(_) | StoreCall::ReadShard | StoreCall::ReadJobs(_) => {
-                self.take_page(at, reply);
+                self.handle_page(at, reply);
             }
-            StoreCall::FollowJobs(after) => self.take_jobs(at, after, reply),
-            StoreCall::ListWorkers => self.take_workers(at, reply),
-            StoreCall::ReadConfig | StoreCall::FollowConfig(_) => self.take_config(at, reply),
+            StoreCall::FollowJobs(after) => self.handle_jobs(at, after, reply),
+            StoreCall::ListWorkers => self.handle_workers(at, reply),
+            StoreCall::ReadConfig | StoreCall::FollowConfig(_) => self.handle_config(at, reply),
             StoreCall::PutJob(request, ..)
             | StoreCall::PutCancel(request, _)
             | StoreCall::ReadJob(request, _) => {
@@ -74,12 +82,10 @@
         let epoch = self.control.epoch();
         match pause {
             HostPause::Config => self.read_config(at),
-            HostPause::Jobs(owner) if epoch == Some(owner) => {
-                self.ask_for_jobs(at, self.jobs_after)
-            }
+            HostPause::Jobs(owner) if epoch == Some(owner) => self.follow_jobs(at, self.jobs_after),
             HostPause::Workers(owner) if epoch == Some(owner) => self.list_workers(at),
             HostPause::Jobs(_) | HostPause::Workers(_) => {}
-            HostPause::Write => self.ask_for_write(at),
+            HostPause::Write => self.read_write_outcome(at),
         }
     }
 
@@ -87,71 +93,71 @@
         self.actions.push((at, HostAction::Pause(pause, at + time)));
     }
 
-    fn config_patience_ms(&self) -> Millis {
+    fn config_timeout_ms(&self) -> Millis {
         match self.model.config_limit {
             TransferLimit::Whole(limit) | TransferLimit::Stalled(limit) => limit,
         }
     }
 
-    /// Reads the configuration, and follows it from then on.
+    /// Reads the configuration, and follows its changes afterwards.
     pub(super) fn read_config(&mut self, at: Micros) {
-        let patience = self.config_patience_ms();
-        self.ask(at, StoreCall::ReadConfig, patience);
+        let timeout = self.config_timeout_ms();
+        self.call_store(at, StoreCall::ReadConfig, timeout);
     }
 
-    fn take_config(&mut self, at: Micros, reply: Option<StoreReply>) {
+    fn handle_config(&mut self, at: Micros, reply: Option<StoreReply>) {
         let Some(StoreReply::Config(config, version)) = reply else {
-            return self.pause(at, HostPause::Config, CONFIG_RETRY);
+            return self.pause(at, HostPause::Config, CONFIG_RETRY_DELAY);
         };
         self.config.after = self.config.after.max(version);
         let known = self.config.current.map_or(0, |known| known.version);
         if config.version > known {
             self.config.current = Some(config);
         }
-        let patience = CONFIG_WAIT_MS + self.config_patience_ms();
-        self.ask(at, StoreCall::FollowConfig(self.config.after), patience);
+        let timeout = CONFIG_WAIT_MS + self.config_timeout_ms();
+        self.call_store(at, StoreCall::FollowConfig(self.config.after), timeout);
     }
 
-    /// Asks for new jobs and cancellations.
-    pub(super) fn ask_for_jobs(&mut self, at: Micros, after: u64) {
+    /// Asks the store for jobs and cancellations newer than the version `after`.
+    pub(super) fn follow_jobs(&mut self, at: Micros, after: u64) {
         self.jobs_after = after;
-        let patience = JOBS_WAIT_MS + FOLLOW_PATIENCE_MS;
-        self.ask(at, StoreCall::FollowJobs(after), patience);
+        let timeout = JOBS_WAIT_MS + FOLLOW_TIMEOUT_MS;
+        self.call_store(at, StoreCall::FollowJobs(after), timeout);
     }
 
-    fn take_jobs(&mut self, at: Micros, after: u64, reply: Option<StoreReply>) {
+    fn handle_jobs(&mut self, at: Micros, after: u64, reply: Option<StoreReply>) {
         let Some(epoch) = self.control.epoch() else {
             return;
         };
-        // Where the shard was lost and owned again meanwhile, this is an answer to the earlier owner.
+        // If the shard was lost and owned again since the call, the answer belongs to the earlier ownership.
         if after != self.jobs_after {
             return;
         }
         let Some(StoreReply::Jobs(rows, version)) = reply else {
-            return self.pause(at, HostPause::Jobs(epoch), FOLLOW_RETRY);
+            return self.pause(at, HostPause::Jobs(epoch), FOLLOW_RETRY_DELAY);
         };
-        self.ask_for_jobs(at, after.max(version));
+        self.follow_jobs(at, after.max(version));
         let events: Vec<JobEvent> = job_events(rows).collect();
         if !events.is_empty() {
-            self.take_events(at, events);
+            self.handle_events(at, events);
         }
     }
 
     /// Reads the list of workers.
     pub(super) fn list_workers(&mut self, at: Micros) {
         self.listed_at = at;
-        self.ask(at, StoreCall::ListWorkers, FOLLOW_PATIENCE_MS);
+        self.call_store(at, StoreCall::ListWorkers, FOLLOW_TIMEOUT_MS);
     }
 
-    fn take_workers(&mut self, at: Micros, reply: Option<StoreReply>) {
+    fn handle_workers(&mut self, at: Micros, reply: Option<StoreReply>) {
         let Some(epoch) = self.control.epoch() else {
             return;
         };
         let Some(StoreReply::Workers(list, store_ms)) = reply else {
-            return self.pause(at, HostPause::Workers(epoch), FOLLOW_RETRY);
+            return self.pause(at, HostPause::Workers(epoch), FOLLOW_RETRY_DELAY);
         };
         let at_most_ms = store_ms + (at - self.listed_at) / MS;
-        self.take_events(
+        self.handle_events(
             at,
             vec![
                 JobEvent::StoreClock {
@@ -161,12 +167,12 @@
                 JobEvent::WorkersListed(list),
             ],
         );
-        self.pause(at, HostPause::Workers(epoch), LIST_PAUSE);
+        self.pause(at, HostPause::Workers(epoch), LIST_INTERVAL);
     }
 
-    /// Does what a caller asks for, or refuses it.
-    pub(super) fn take_request(&mut self, at: Micros, body: RequestBody) {
-        let (request, ask) = match body {
+    /// Forwards a caller's request to the store, or refuses it if the configuration is unknown or the store is failing.
+    pub(super) fn handle_request(&mut self, at: Micros, body: RequestBody) {
+        let (request, store_call) = match body {
             RequestBody::Submit(request, number, spec) => {
                 (request, StoreCall::PutJob(request, number, spec))
             }
@@ -176,10 +182,10 @@
             RequestBody::Show(request, number) => (request, StoreCall::ReadJob(request, number)),
         };
         let known = self.config.in_force().is_some();
-        if !known || self.store_failures >= OUT_AFTER_FAILURES {
+        if !known || self.store_failures >= REFUSE_AFTER_FAILURES {
             self.actions.push((at, HostAction::Respond(request, false)));
             return;
         }
-        self.ask(at, ask, REQUEST_PATIENCE_MS);
+        self.call_store(at, store_call, REQUEST_TIMEOUT_MS);
     }
 }
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -1,6 +1,7 @@
-//! A host of the system: a process that does one thing after the other on a share of a core, behind a link.
+//! Emulates a host: a single-threaded process on a share of a processor core, behind a link.
 //!
-//! It mirrors the daemon's control thread (`crates/sandshelfd/src/jobs`): what that does between two waits is one turn here.
+//! It mirrors the daemon's control thread (`crates/sandshelfd/src/jobs`): the work that the thread does between two waits is one
+//! turn here.
 
 mod calls;
 mod control;
@@ -18,7 +19,7 @@
 use sandshelf_model::Millis;
 
 pub use calls::{CallBody, CallPeer, WorkerOrder};
-use calls::{CallTable, CallWay, OpenCall};
+use calls::{CallPath, CallTable, OpenCall};
 use control::OwnerControl;
 pub use control::{OwnerStats, WALL_START_MS};
 use follow::ConfigFollower;
@@ -32,31 +33,31 @@
 use crate::sizes;
 use crate::store::{StoreCall, StoreReply};
 
-/// How often the control thread acts without any event.
-const TICK: Micros = 25 * MS;
-/// How many tasks the runtime polls before the control thread gets its turn.
-const ITEMS_AT_ONCE: usize = 61;
-/// How long a worker's answer is waited for.
-const WORKER_PATIENCE: Micros = 500 * MS;
-/// After so many calls to the store that failed on end callers are refused.
-const OUT_AFTER_FAILURES: u32 = 3;
+/// Interval at which the control thread acts without an event.
+const TICK_INTERVAL: Micros = 25 * MS;
+/// Work items per turn: as many as the tasks that the async runtime polls before the control thread runs again.
+const ITEMS_PER_TURN: usize = 61;
+/// Timeout for a worker's answer, not counting the time that the worker may hold a renewal.
+const WORKER_TIMEOUT: Micros = 500 * MS;
+/// Number of consecutive failed calls to the store after which callers are refused.
+const REFUSE_AFTER_FAILURES: u32 = 3;
 
 /// One host.
 #[derive(Debug)]
 pub struct EmulatedHost {
-    /// Its name, the same over all lives.
+    /// Its name, which stays the same when its process restarts.
     pub name: String,
-    /// What it is made of.
+    /// Its resources and behaviour.
     pub model: HostModel,
-    /// Counts its processes.
-    pub life: u32,
+    /// Incarnation number of its process. It grows by one when a process starts and when it ends.
+    pub incarnation: u32,
     /// Whether its process runs.
     pub up: bool,
     /// Its share of a core.
     pub processor: ProcessorModel,
-    /// What it sends over.
+    /// The link direction for sending.
     pub uplink: LinkModel,
-    /// What it receives over.
+    /// The link direction for receiving.
     pub downlink: LinkModel,
     /// Whether a turn is queued.
     pub awake: bool,
@@ -64,19 +65,20 @@
     calls: CallTable,
     config: ConfigFollower,
     control: OwnerControl,
-    /// From which version on new jobs are asked for.
+    /// The store version after which new jobs are asked for.
     jobs_after: u64,
-    /// When the list of workers was last asked for.
+    /// The time at which the list of workers was last asked for.
     listed_at: Micros,
+    /// Number of consecutive failed calls to the store.
     store_failures: u32,
-    /// Measures the scheduler, where that is wanted.
+    /// Measures the scheduler's processor time, if switched on.
     pub meter: SchedulerMeter,
     actions: Vec<(Micros, HostAction)>,
     random: ChaCha8Rng,
 }
 
 impl EmulatedHost {
-    /// A host whose process doesn't run yet.
+    /// Creates a host whose process does not run yet.
     pub fn new(index: usize, seed: u64, model: HostModel, max_lease_ms: Millis) -> Self {
         let name = format!("host-{index}");
         let mut random = ChaCha8Rng::seed_from_u64(crate::catalog::mix(seed, index as u64 + 1));
@@ -87,7 +89,7 @@
             downlink: LinkModel::new(model.link_kbit_per_s),
             name,
             model,
-            life: 0,
+            incarnation: 0,
             up: false,
             awake: false,
             inbox: VecDeque::new(),
@@ -102,9 +104,9 @@
         }
     }
 
-    /// Its process starts.
+    /// Starts its process.
     pub fn launch(&mut self, now: Micros, max_lease_ms: Millis) {
-        self.life += 1;
+        self.incarnation += 1;
         self.up = true;
         self.processor.reset(now);
         self.uplink.reset(now);
@@ -114,54 +116,62 @@
         self.config = ConfigFollower::default();
         self.store_failures = 0;
         let random = &mut self.random;
-        self.control = OwnerControl::new(&self.name, self.life, &self.model, max_lease_ms, random);
+        self.control = OwnerControl::new(
+            &self.name,
+            self.incarnation,
+            &self.model,
+            max_lease_ms,
+            random,
+        );
     }
 
-    /// Its process is over, without a word.
+    /// Ends its process without notice to anyone.
     pub fn kill(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.up = false;
         self.inbox.clear();
-        self.control.lose_all();
+        self.control.clear();
     }
 
-    /// The version of the configuration in force.
+    /// The version of the configuration in force; `None` before the first.
     pub fn config_version(&self) -> Option<u64> {
         self.config.in_force().map(|config| config.version)
     }
 
-    /// Whether it takes connections of callers.
+    /// Whether it accepts connections from callers.
     pub fn is_ready(&self) -> bool {
-        self.up && self.config.in_force().is_some() && self.store_failures < OUT_AFTER_FAILURES
+        self.up && self.config.in_force().is_some() && self.store_failures < REFUSE_AFTER_FAILURES
     }
 
-    /// The figures of its scheduler, while it owns the shard.
+    /// Statistics of its scheduler; `None` if it does not own the shard.
     pub fn owner_stats(&self, now: Micros) -> Option<OwnerStats> {
-        self.control.figures(now)
+        self.control.stats(now)
     }
 
-    /// Whether it owns the shard, as it believes.
+    /// Whether it believes that it owns the shard.
     pub fn is_owner(&self) -> bool {
         self.control.is_owner()
     }
 
-    /// Whether a call of this life is open; the answer's bytes have come so far.
+    /// Records that bytes of a call's answer have arrived; returns whether the call is still open.
     pub fn note_progress(&mut self, now: Micros, call: u64) -> bool {
         let open = self.calls.get_mut(call);
         open.map(|open| open.progress_at = now).is_some()
     }
 
-    /// Whom an open call goes to.
+    /// The receiver of an open call.
     pub fn peer_of(&mut self, call: u64) -> Option<CallPeer> {
         self.calls.get_mut(call).map(|open| open.peer)
     }
 
-    /// All open connections fall silent; returns the calls that will get no answer.
+    /// Makes all open connections stop delivering; returns the numbers of the calls that will get no answer.
     pub fn silence_connections(&mut self) -> Vec<u64> {
         self.calls.silence_connections()
     }
 
-    /// When the patience with a call is over; none where it has ended.
+    /// The time at which a call times out; `None` if it has ended.
+    ///
+    /// Under [`TransferLimit::Stalled`] each arrival of bytes extends the timeout of a call that reads the configuration.
     pub fn timeout_at(&mut self, call: u64) -> Option<Micros> {
         let limit = self.model.config_limit;
         let open = self.calls.get_mut(call)?;
@@ -179,9 +189,9 @@
         Some(open.deadline)
     }
 
-    /// Puts something on the list of things to do; returns whether a turn has to be queued.
+    /// Adds an item to the inbox; returns whether the caller has to queue a turn.
     ///
-    /// The control thread looks at its timer in each turn, whatever else waits.
+    /// Ticks go to the front, because the control thread checks its timer in each turn, whatever else waits.
     pub fn push(&mut self, item: WorkItem) -> bool {
         match item {
             WorkItem::Tick => self.inbox.push_front(item),
@@ -190,35 +200,36 @@
         !std::mem::replace(&mut self.awake, true)
     }
 
-    /// Whether there is more to do.
+    /// Whether its inbox has items.
     pub fn has_work(&self) -> bool {
         !self.inbox.is_empty()
     }
 
-    /// Does what has come in; returns what it does towards others, each with its time.
+    /// Processes items of the inbox; returns the resulting actions, each with its time.
     pub fn turn(&mut self, now: Micros) -> Vec<(Micros, HostAction)> {
         let mut events = Vec::new();
         let mut at = now;
-        for _ in 0..ITEMS_AT_ONCE {
+        for _ in 0..ITEMS_PER_TURN {
             let Some(item) = self.inbox.pop_front() else {
                 break;
             };
-            at = self.do_item(now, item, &mut events);
+            at = self.process_item(now, item, &mut events);
         }
         let epoch = self.control.epoch();
         events.retain(|(sent, _)| Some(*sent) == epoch);
         let events: Vec<JobEvent> = events.into_iter().map(|(_, event)| event).collect();
         if !events.is_empty() {
-            self.take_events(at, events);
+            self.handle_events(at, events);
         }
         std::mem::take(&mut self.actions)
     }
 
+    /// Uses processor time; returns the time at which the work is done.
     fn spend(&mut self, now: Micros, core_time: Micros) -> Micros {
         self.processor.work(now, costs::on_platform(core_time))
     }
 
-    fn do_item(
+    fn process_item(
         &mut self,
         now: Micros,
         item: WorkItem,
@@ -228,18 +239,19 @@
             WorkItem::Launch => {
                 let at = self.spend(now, costs::LAUNCH_US);
                 self.read_config(at);
-                self.actions.push((at, HostAction::Tick(at + TICK)));
+                self.actions
+                    .push((at, HostAction::Tick(at + TICK_INTERVAL)));
                 at
             }
             WorkItem::Tick => {
                 let at = self.spend(now, costs::TICK_US);
                 self.tick(at);
-                let next = self.processor.free_at().max(at) + TICK;
+                let next = self.processor.free_at().max(at) + TICK_INTERVAL;
                 self.actions.push((at, HostAction::Tick(next)));
                 at
             }
             WorkItem::Begin(peer, body) => {
-                self.send(now, peer, body, WORKER_PATIENCE);
+                self.send(now, peer, body, WORKER_TIMEOUT);
                 self.processor.free_at()
             }
             WorkItem::Connected(call) => {
@@ -256,38 +268,38 @@
             }
             WorkItem::Request(body) => {
                 let at = self.spend(now, costs::REQUEST_US);
-                self.take_request(at, body);
+                self.handle_request(at, body);
                 at
             }
             WorkItem::Answered(call, answer, bytes) => {
-                let patience = self.timeout_at(call);
-                let (Some(patience), Some(open)) = (patience, self.calls.end(call)) else {
+                let timeout = self.timeout_at(call);
+                let (Some(timeout), Some(open)) = (timeout, self.calls.close(call)) else {
                     return self.processor.free_at().max(now);
                 };
                 let cost = match open.peer {
                     CallPeer::Worker(_) => costs::worker_answer_us(bytes),
                     CallPeer::Store => costs::store_answer_us(bytes),
                 };
-                // The library looks at the time before it looks at the answer.
+                // The call library checks the timeout before it reads the answer.
                 let begins = self.processor.free_at().max(now);
-                let in_time = begins <= patience;
+                let in_time = begins <= timeout;
                 let at = self.spend(now, cost);
                 let answer = Some(answer).filter(|_| in_time);
                 self.end_call(at, open, answer, events);
                 at
             }
             WorkItem::GivenUp(call) => {
-                let Some(open) = self.calls.end(call) else {
+                let Some(open) = self.calls.close(call) else {
                     return self.processor.free_at().max(now);
                 };
-                let at = self.spend(now, costs::give_up_us());
+                let at = self.spend(now, costs::timeout_us());
                 self.end_call(at, open, None, events);
                 at
             }
         }
     }
 
-    /// A call has come to its end, with an answer or without.
+    /// Handles the end of a call; `answer` is `None` if it timed out.
     fn end_call(
         &mut self,
         at: Micros,
@@ -296,7 +308,7 @@
         events: &mut Vec<(u64, JobEvent)>,
     ) {
         if answer.is_none() {
-            for parked in self.calls.renew(&open) {
+            for parked in self.calls.replace_connections(&open) {
                 self.inbox.push_back(WorkItem::GivenUp(parked));
             }
         }
@@ -304,7 +316,7 @@
             CallBody::Order(order) => {
                 if let CallPeer::Worker(place) = open.peer {
                     if !matches!(order.call, WorkerCall::Renew(_)) {
-                        if let Some(next) = self.calls.give_turn(place) {
+                        if let Some(next) = self.calls.release_slot(place) {
                             self.inbox.push_back(WorkItem::Begin(open.peer, next));
                         }
                     }
@@ -315,7 +327,7 @@
                 };
                 events.push((order.epoch, event));
             }
-            CallBody::Store(ask) => {
+            CallBody::Store(store_call) => {
                 let reply = match answer {
                     Some(CallAnswer::Store(StoreReply::Rejected)) | None => None,
                     Some(CallAnswer::Store(reply)) => Some(reply),
@@ -326,40 +338,40 @@
                 } else {
                     self.store_failures + 1
                 };
-                self.take_reply(at, ask, reply);
+                self.handle_reply(at, store_call, reply);
             }
         }
     }
 
-    /// Begins a call, and has it looked at when the patience with it is over.
-    fn send(&mut self, now: Micros, peer: CallPeer, body: CallBody, patience: Micros) {
+    /// Begins a call and schedules the check of its timeout.
+    fn send(&mut self, now: Micros, peer: CallPeer, body: CallBody, timeout: Micros) {
         let now = self.processor.free_at().max(now);
         let wait = match &body {
             CallBody::Order(WorkerOrder {
-                call: WorkerCall::Renew(hold),
+                call: WorkerCall::Renew(renewal),
                 ..
-            }) => hold.wait_ms * MS,
+            }) => renewal.wait_ms * MS,
             _ => 0,
         };
-        let until = now + patience + wait;
-        let (call, way) = self.calls.begin(now, peer, body.clone(), patience + wait);
+        let until = now + timeout + wait;
+        let (call, path) = self.calls.begin(now, peer, body.clone(), timeout + wait);
         self.actions
             .push((now, HostAction::CheckTimeout(call, until)));
-        match way {
-            CallWay::Connects => {
+        match path {
+            CallPath::Connects => {
                 let at = self.spend(now, costs::CONNECT_US);
                 self.actions.push((at, HostAction::Connect(call)));
             }
-            CallWay::Silent => self.send_on(now, call, peer, body, true),
-            CallWay::Open => self.send_on(now, call, peer, body, false),
+            CallPath::Silent => self.send_on(now, call, peer, body, true),
+            CallPath::Open => self.send_on(now, call, peer, body, false),
         }
     }
 
-    /// Sends a call over its connection.
+    /// Sends a call over its connection; it gets lost if the connection is `silent`.
     fn send_on(&mut self, now: Micros, call: u64, peer: CallPeer, body: CallBody, silent: bool) {
         let bytes = match &body {
             CallBody::Order(order) => sizes::worker_call(order.epoch, &order.call),
-            CallBody::Store(ask) => ask.bytes(),
+            CallBody::Store(store_call) => store_call.bytes(),
         };
         let at = self.spend(now, costs::send_us(bytes));
         if !silent {
@@ -368,8 +380,13 @@
         }
     }
 
-    /// Asks the store.
-    fn ask(&mut self, now: Micros, ask: StoreCall, patience_ms: Millis) {
-        self.send(now, CallPeer::Store, CallBody::Store(ask), patience_ms * MS);
+    /// Begins a call to the store.
+    fn call_store(&mut self, now: Micros, store_call: StoreCall, timeout_ms: Millis) {
+        self.send(
+            now,
+            CallPeer::Store,
+            CallBody::Store(store_call),
+            timeout_ms * MS,
+        );
     }
 }
--- a/crates/emulator/src/host/model.rs
+++ b/crates/emulator/src/host/model.rs
@@ -1,4 +1,4 @@
-//! What a host is made of, and how fit that makes it to own the shard.
+//! Describes a host's resources and faults, and how suitable it is as shard owner.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -9,57 +9,57 @@
 const WEAK_PROCESSOR_MILLIS: u64 = 200;
 const WEAK_LINK_KBIT_PER_S: u64 = 20_000;
 
-/// How long a transfer may take.
+/// The time limit of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferLimit {
-    /// So long as a whole, in milliseconds.
+    /// Limit for the whole transfer, in milliseconds.
     Whole(Millis),
-    /// Any time, as long as bytes come at least this often, in milliseconds.
+    /// Limit for the time between two arrivals of bytes, in milliseconds; the whole transfer may take any time.
     Stalled(Millis),
 }
 
-/// What a host is made of and how it behaves.
+/// Resources and behaviour of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostModel {
-    /// What it has of a core, in thousandths.
+    /// Its processor share, in thousandths of a core.
     pub processor_millis: u64,
-    /// What its link carries, in thousandths of a megabit a second.
+    /// Bandwidth of its link in each direction, in kilobits per second.
     pub link_kbit_per_s: u64,
-    /// How long the transfer of a configuration may take.
+    /// Time limit for the transfer of a configuration.
     pub config_limit: TransferLimit,
-    /// What is wrong with it.
+    /// The fault that it is emulated with.
     pub fault: HostFault,
 }
 
-/// What is wrong with a host, so that rules can be seen to be broken.
+/// A deliberate fault of a host, with which tests check that the oracle reports broken rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// What it reads as a successor never comes whole.
+    /// After a takeover it never finishes reading the stored state.
     EndlessTakeover,
-    /// As a successor it knows nothing of what is done.
+    /// After a takeover it ignores the stored progress of jobs.
     BlindTakeover,
-    /// It keeps calls to stop to itself.
+    /// It does not send orders to stop runs.
     NoStops,
-    /// It never takes into account that it may have been followed.
+    /// It ignores that another host may have become the owner.
     NeverUnsure,
 }
 
-/// How fit a host is to own the shard.
+/// How suitable a host is as shard owner, which decides the order in which hosts claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStrength {
     /// Claims first.
     Strong,
-    /// Claims where no strong one does.
+    /// Claims if no strong host does.
     Middling,
     /// Claims last.
     Weak,
 }
 
 impl HostStrength {
-    /// By what a host is made of.
+    /// Derives the strength from the host's processor share and link.
     pub fn of(model: &HostModel) -> Self {
         let thin = model.link_kbit_per_s < WEAK_LINK_KBIT_PER_S;
         match model.processor_millis {
@@ -69,6 +69,7 @@
         }
     }
 
+    /// Draws a rank; hosts with lower ranks claim earlier.
     pub(super) fn draw_rank(self, random: &mut ChaCha8Rng) -> u32 {
         random.random_range(match self {
             HostStrength::Strong => 0..3,
--- a/crates/emulator/src/host/takeover.rs
+++ b/crates/emulator/src/host/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner reads before it gives orders, page by page.
+//! Reads the stored state of the shard, page by page, when a host becomes its owner.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,37 +10,41 @@
 use crate::queue::Micros;
 use crate::store::{JobRow, StoreCall, StoreReply, JOB_PARTS};
 
-/// How long one page of rows is waited for, as in the daemon's `jobs/takeover.rs`.
-const PAGE_PATIENCE_MS: Millis = 1_500;
-/// How many parts of the jobs are read at once.
+/// Timeout for one page of rows, as in the daemon's `jobs/takeover.rs`.
+const PAGE_TIMEOUT_MS: Millis = 1_500;
+/// Parts of the table of jobs that are read concurrently.
 const PARTS_AT_ONCE: usize = 8;
 
-/// The epoch of the very first owner.
+/// The epoch of the first owner of the shard.
 const FIRST_EPOCH: u64 = 1;
 
-/// What has been read so far.
+/// The state read so far.
 #[derive(Debug, Default)]
 pub(super) struct TakeoverReading {
     progress: BTreeMap<JobNumber, ProgressRow>,
+    /// Parts not yet asked for.
     parts_left: VecDeque<u32>,
+    /// Parts asked for but not yet received.
     parts_open: usize,
     events: Vec<JobEvent>,
-    /// The version as of which the first part was read.
+    /// The lowest store version as of which a part was read. Changes are followed from there, so that none is missed.
     pub(super) follow_from: u64,
+    /// The highest such version.
     newest: u64,
 }
 
 impl EmulatedHost {
-    /// Reads all that is durable of the shard: first what the owner before published, by which the workers can be held.
+    /// Reads the stored state of the shard. What the previous owner published comes first, because it suffices to renew the
+    /// workers' leases.
     pub(super) fn read_takeover(&mut self, at: Micros) {
         self.begin_reading();
-        self.ask(at, StoreCall::ReadShard, PAGE_PATIENCE_MS);
+        self.call_store(at, StoreCall::ReadShard, PAGE_TIMEOUT_MS);
     }
 
-    /// Reads what is durable of jobs, from the start.
+    /// Reads the stored progress and the jobs, from the beginning.
     fn read_recorded(&mut self, at: Micros) {
         self.begin_reading();
-        self.ask(at, StoreCall::ReadProgress(None), PAGE_PATIENCE_MS);
+        self.call_store(at, StoreCall::ReadProgress(None), PAGE_TIMEOUT_MS);
     }
 
     fn begin_reading(&mut self) {
@@ -51,8 +55,8 @@
         });
     }
 
-    /// A page has come, or hasn't.
-    pub(super) fn take_page(&mut self, at: Micros, reply: Option<StoreReply>) {
+    /// Handles a page; reading starts again if it failed (`None`).
+    pub(super) fn handle_page(&mut self, at: Micros, reply: Option<StoreReply>) {
         let stage = self.control.lease.stage();
         if !matches!(stage, LeaseStage::Recovering | LeaseStage::Holding) {
             return;
@@ -73,7 +77,7 @@
                     reading.progress.extend(rows);
                 }
                 if let Some(last) = more {
-                    self.ask(at, StoreCall::ReadProgress(Some(last)), PAGE_PATIENCE_MS);
+                    self.call_store(at, StoreCall::ReadProgress(Some(last)), PAGE_TIMEOUT_MS);
                     return;
                 }
                 reading.parts_left = (0..JOB_PARTS).collect();
@@ -87,7 +91,7 @@
                     rules_since: 1,
                     roster: shard.roster,
                     silent: shard.silent,
-                    interference: shard.strengths,
+                    interference: shard.interference,
                     store_ms,
                     ..TakeoverInfo::default()
                 };
@@ -113,7 +117,7 @@
         };
         if let Some(part) = reading.parts_left.pop_front() {
             reading.parts_open += 1;
-            self.ask(at, StoreCall::ReadJobs(part), PAGE_PATIENCE_MS);
+            self.call_store(at, StoreCall::ReadJobs(part), PAGE_TIMEOUT_MS);
         }
     }
 
@@ -131,12 +135,12 @@
         events.append(&mut reading.events);
         let follow_from = reading.follow_from;
         self.control.takeover = None;
-        self.ask_for_jobs(at, follow_from);
-        self.take_events(at, events);
+        self.follow_jobs(at, follow_from);
+        self.handle_events(at, events);
     }
 }
 
-/// The events of rows of jobs.
+/// Converts rows of the table of jobs to scheduler events.
 pub(super) fn job_events(rows: Vec<(u64, JobRow)>) -> impl Iterator<Item = JobEvent> {
     rows.into_iter().map(|(version, row)| match row {
         JobRow::Job(number, spec) => JobEvent::JobListed {
--- a/crates/emulator/src/host/work.rs
+++ b/crates/emulator/src/host/work.rs
@@ -1,4 +1,4 @@
-//! What comes in at a host, and what it does towards others.
+//! Work items that arrive at a host, and the actions that it takes towards others.
 
 use std::sync::Arc;
 
@@ -12,82 +12,82 @@
 use crate::queue::Micros;
 use crate::store::StoreReply;
 
-/// A thing for a host to do.
+/// An item in a host's inbox.
 #[derive(Debug)]
 pub enum WorkItem {
     /// The process has just started.
     Launch,
-    /// Time passes.
+    /// The control thread's periodic tick is due.
     Tick,
-    /// An order leaves.
+    /// An order is ready to be sent.
     Begin(CallPeer, CallBody),
-    /// The new connection that a call needs is there.
+    /// The new connection for a call, given by its number, has been opened.
     Connected(u64),
     /// A pause is over.
     Resume(HostPause),
-    /// A call was answered, with so many bytes.
+    /// A call was answered: its number, the answer and the answer's size in bytes.
     Answered(u64, CallAnswer, u64),
-    /// The answer to a call isn't waited for any longer.
+    /// A call, given by its number, has timed out.
     GivenUp(u64),
-    /// A caller asks for something.
+    /// A caller's request has arrived.
     Request(RequestBody),
 }
 
-/// What a host waits for before it goes on.
+/// The operation that a host continues with after a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostPause {
-    /// To ask for the configuration again.
+    /// Reads the configuration again.
     Config,
-    /// To ask for new jobs again, as the owner of an epoch.
+    /// Asks for new jobs again, if it is still the owner in this epoch.
     Jobs(u64),
-    /// To read the list of workers again, as the owner of an epoch.
+    /// Reads the list of workers again, if it is still the owner in this epoch.
     Workers(u64),
-    /// To look what became of a write.
+    /// Reads the owner's row to learn whether a write took effect.
     Write,
 }
 
-/// What a called peer answered.
+/// The answer to a call.
 #[derive(Debug)]
 pub enum CallAnswer {
-    /// A worker, as its caller is told.
+    /// A worker's answer, as a scheduler event.
     Worker(JobEvent),
-    /// The store.
+    /// The store's answer.
     Store(StoreReply),
 }
 
-/// What a caller asks for, by the number of its request.
+/// A caller's request; the first field is the request's number.
 #[derive(Clone, Debug)]
 pub enum RequestBody {
-    /// Take a job in.
+    /// Submit a job.
     Submit(usize, JobNumber, Arc<JobSpec>),
     /// Cancel a job.
     Cancel(usize, JobNumber),
-    /// Show a job's state.
+    /// Read a job's state.
     Show(usize, JobNumber),
 }
 
-/// What a host does towards others.
+/// An action of a host towards others.
 #[derive(Debug)]
 pub enum HostAction {
-    /// Opens a connection for a call.
+    /// Opens a connection for a call, given by its number.
     Connect(u64),
-    /// Sends a call of so many bytes.
+    /// Sends a call: its number, receiver, content and size in bytes.
     Send(u64, CallPeer, CallBody, u64),
-    /// Looks again at a call when its patience is over.
+    /// Checks at a time whether a call, given by its number, has timed out.
     CheckTimeout(u64, Micros),
-    /// Goes on after a pause.
+    /// Continues an operation at a time.
     Pause(HostPause, Micros),
-    /// Ticks again.
+    /// Ticks again at a time.
     Tick(Micros),
-    /// Answers a request; whether it has what it asked for.
+    /// Answers a request, given by its number; `true` if the request was served.
     Respond(usize, bool),
-    /// Owns the shard as an epoch, so long after its claim.
+    /// Has become the owner in an epoch; the second field is the time since its claim, in milliseconds.
     Owned(u64, Millis),
-    /// The scheduler decided or learnt something.
+    /// The scheduler emitted a note.
     Noted(JobNote),
 }
 
-/// The event of an order that ended so.
+/// The scheduler event for an order that ended with `answer`.
 pub fn answer_event(order: &WorkerOrder, answer: OrderAnswer) -> JobEvent {
     let worker = order.worker.clone();
     match &order.call {
--- a/crates/emulator/src/host/writes.rs
+++ b/crates/emulator/src/host/writes.rs
@@ -1,4 +1,5 @@
-//! Durable writes of an owner: each is conditional on the owner's row, and tried until its fate is known.
+//! Stored writes of a shard owner. Each is conditional on the version of the owner's row, and is retried until its outcome is
+//! known.
 
 use sandshelf_jobs::{CommitBatch, JobEvent};
 use sandshelf_lease::{LeaseStage, StoredRow};
@@ -8,15 +9,16 @@
 use crate::queue::{Micros, MS};
 use crate::store::{OwnerWrite, StoreCall, StoreReply};
 
-// The durations of the daemon's `jobs/writer.rs`.
-const WRITE_PATIENCE_MS: Millis = 900;
-pub(super) const READ_PATIENCE_MS: Millis = 600;
-const RETRY_PAUSE: Micros = 100 * MS;
+// Same values as in the daemon's `jobs/writer.rs`.
+const WRITE_TIMEOUT_MS: Millis = 900;
+pub(super) const READ_TIMEOUT_MS: Millis = 600;
+const RETRY_DELAY: Micros = 100 * MS;
 
-/// A write under way.
+/// A write whose outcome is not yet known.
 #[derive(Clone, Debug)]
 pub(super) struct WriteState {
     write: OwnerWrite,
+    /// The time at which it was first sent, in milliseconds.
     sent: Millis,
 }
 
@@ -26,10 +28,10 @@
             write: write.clone(),
             sent: at / MS,
         });
-        self.ask(at, StoreCall::Write(Box::new(write)), WRITE_PATIENCE_MS);
+        self.call_store(at, StoreCall::Write(Box::new(write)), WRITE_TIMEOUT_MS);
     }
 
-    /// Writes the batch that waits, or renews the ownership where that is due.
+    /// Writes the waiting batch, or renews the shard lease if that is due. Does nothing while another write is in progress.
     pub(super) fn write_next(&mut self, at: Micros) {
         let stage = self.control.lease.stage();
         let holding = matches!(stage, LeaseStage::Holding | LeaseStage::Recovering);
@@ -53,27 +55,27 @@
         );
     }
 
-    /// An attempt to write has come to its end.
-    pub(super) fn take_write(&mut self, at: Micros, reply: Option<StoreReply>) {
+    /// Handles the end of a write attempt; `reply` is `None` if it timed out.
+    pub(super) fn handle_write_reply(&mut self, at: Micros, reply: Option<StoreReply>) {
         match reply {
             Some(StoreReply::Written(version)) => self.note_written(at, version),
             Some(StoreReply::Conflict(current)) => self.check_write(at, current),
             _ => {
-                let until = at + RETRY_PAUSE;
+                let until = at + RETRY_DELAY;
                 self.actions
                     .push((at, HostAction::Pause(HostPause::Write, until)));
             }
         }
     }
 
-    /// Looks what became of a write that got no answer.
-    pub(super) fn ask_for_write(&mut self, at: Micros) {
+    /// Reads the owner's row to learn whether an unanswered write took effect.
+    pub(super) fn read_write_outcome(&mut self, at: Micros) {
         if self.control.writing.is_some() {
-            self.ask(at, StoreCall::CheckWrite, READ_PATIENCE_MS);
+            self.call_store(at, StoreCall::CheckWrite, READ_TIMEOUT_MS);
         }
     }
 
-    pub(super) fn take_check(&mut self, at: Micros, reply: Option<StoreReply>) {
+    pub(super) fn handle_check(&mut self, at: Micros, reply: Option<StoreReply>) {
         match reply {
             Some(StoreReply::Owner(current)) => self.check_write(at, current),
             _ => self.write_again(at),
@@ -82,8 +84,8 @@
 
     fn write_again(&mut self, at: Micros) {
         if let Some(state) = &self.control.writing {
-            let ask = StoreCall::Write(Box::new(state.write.clone()));
-            self.ask(at, ask, WRITE_PATIENCE_MS);
+            let store_call = StoreCall::Write(Box::new(state.write.clone()));
+            self.call_store(at, store_call, WRITE_TIMEOUT_MS);
         }
     }
 
@@ -95,7 +97,7 @@
             self.note_written(at, current.version);
         } else if current.version != state.write.version {
             self.control.writing = None;
-            self.lose();
+            self.step_down();
             self.write_next(at);
         } else {
             self.write_again(at);
@@ -113,7 +115,7 @@
         if claimed {
             self.read_takeover(at);
         } else if self.control.owned.is_some() && batch > 0 {
-            self.take_events(at, vec![JobEvent::Committed(batch)]);
+            self.handle_events(at, vec![JobEvent::Committed(batch)]);
         }
         self.write_next(at);
     }
--- a/crates/emulator/src/store/calls.rs
+++ b/crates/emulator/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! What hosts ask the store for, and what it answers.
+//! Calls of hosts to the store, and the store's answers.
 
 use std::sync::Arc;
 
@@ -12,66 +12,66 @@
 /// A row of the table of jobs.
 #[derive(Clone, Debug)]
 pub enum JobRow {
-    /// A job as handed in.
+    /// A job as submitted.
     Job(JobNumber, Arc<JobSpec>),
-    /// The mark of a cancelled one.
+    /// The cancellation of a job.
     Cancelled(JobNumber),
 }
 
-/// One write of an owner.
+/// One write of a shard owner.
 #[derive(Clone, Debug)]
 pub struct OwnerWrite {
-    /// The version that the owner's row must have.
+    /// The version that the owner's row must have for the write to take effect.
     pub version: RowVersion,
-    /// The owner's row as it is to be.
+    /// The new content of the owner's row.
     pub row: ShardRow,
-    /// What else is written.
+    /// The other rows to write.
     pub batch: CommitBatch,
 }
 
-/// What a host asks the store for.
+/// A call of a host to the store.
 #[derive(Clone, Debug)]
 pub enum StoreCall {
-    /// The owner's row.
+    /// Reads the owner's row.
     ReadOwner,
-    /// The owner's row, after a write without an answer.
+    /// Reads the owner's row to learn whether an unanswered write took effect.
     CheckWrite,
-    /// A write of the owner.
+    /// Writes as the shard owner.
     Write(Box<OwnerWrite>),
-    /// A page of progress behind a job.
+    /// Reads the page of progress rows after a job; the first page for `None`.
     ReadProgress(Option<JobNumber>),
-    /// What the owner publishes.
+    /// Reads the state that the owner publishes.
     ReadShard,
-    /// A part of the jobs.
+    /// Reads one part of the table of jobs.
     ReadJobs(u32),
-    /// New jobs and cancellations after a version, as soon as there are any.
+    /// Waits for jobs and cancellations newer than a version.
     FollowJobs(RowVersion),
-    /// The list of workers.
+    /// Reads the list of workers.
     ListWorkers,
-    /// The configuration.
+    /// Reads the configuration.
     ReadConfig,
-    /// A newer configuration, as soon as there is one.
+    /// Waits for a configuration newer than a version.
     FollowConfig(RowVersion),
-    /// Hands a job in for a request.
+    /// Stores a job for a request, given by its number.
     PutJob(usize, JobNumber, Arc<JobSpec>),
-    /// Marks a job as cancelled for a request.
+    /// Stores the cancellation of a job for a request, given by its number.
     PutCancel(usize, JobNumber),
-    /// A job's state for a request.
+    /// Reads a job's state for a request, given by its number.
     ReadJob(usize, JobNumber),
 }
 
 impl StoreCall {
-    /// Whether it waits at the store.
+    /// Whether the store holds the call until there are changes (long poll).
     pub fn is_parked(&self) -> bool {
         matches!(self, StoreCall::FollowJobs(_) | StoreCall::FollowConfig(_))
     }
 
-    /// Whether rows that feeds follow may change by it.
+    /// Whether it may change rows that feeds follow.
     pub fn changes_rows(&self) -> bool {
         matches!(self, StoreCall::PutJob(..) | StoreCall::PutCancel(..))
     }
 
-    /// How many bytes it has.
+    /// Its size in bytes.
     pub fn bytes(&self) -> u64 {
         match self {
             StoreCall::Write(write) => sizes::owner_write(&write.batch),
@@ -84,34 +84,34 @@
 /// A configuration as the operator wrote it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigRow {
-    /// Its version; 0 before the first.
+    /// Its version; 0 before the first configuration.
     pub version: u64,
-    /// How many routes it has.
+    /// Its number of routes.
     pub routes: usize,
 }
 
-/// What the store answers.
+/// An answer of the store.
 #[derive(Clone, Debug)]
 pub enum StoreReply {
     /// The owner's row.
     Owner(StoredRow),
-    /// A write took effect as a version.
+    /// A write took effect and created this version.
     Written(RowVersion),
-    /// The owner's row had another version.
+    /// A write had no effect, because the owner's row had another version; this is the current row.
     Conflict(StoredRow),
-    /// A page of progress, and the job to go on behind.
+    /// A page of progress rows, and the job after which the next page begins; `None` for the last page.
     Progress(Vec<(JobNumber, ProgressRow)>, Option<JobNumber>),
-    /// What the owner publishes, with the store's clock.
+    /// The state that the owner publishes, and the store's clock in milliseconds.
     Shard(Box<ShardState>, Millis),
-    /// Rows of jobs with their versions, and the version as of which they are.
+    /// Rows of jobs with their versions, and the store version at which they were read.
     Jobs(Vec<(RowVersion, JobRow)>, RowVersion),
-    /// The list of workers with the store's clock.
+    /// The list of workers, and the store's clock in milliseconds.
     Workers(Vec<WorkerListing>, Millis),
-    /// The configuration and the version to go on from.
+    /// The configuration, and the store version to follow it from.
     Config(ConfigRow, RowVersion),
-    /// Anything that shows no row.
+    /// Success, for calls whose answer contains no row.
     Done,
-    /// Nothing was done.
+    /// The call was refused and had no effect.
     Rejected,
 }
 
--- a/crates/emulator/src/store/mod.rs
+++ b/crates/emulator/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated store: rows of jobs, progress and ownership, each with its size, and feeds that wait for changes.
+//! Emulates the store: rows for jobs, progress and shard ownership with their sizes, and feeds that wait for changes.
 
 mod calls;
 
@@ -16,61 +16,63 @@
 use crate::sizes;
 pub use calls::{ConfigRow, JobRow, OwnerWrite, StoreCall, StoreReply};
 
-/// How long an answer takes.
+/// Time that an answer without a write takes, in milliseconds.
 const ANSWER_MS: Micros = 4;
-/// How long a write takes in its part, which takes one after the other.
+/// Time that a write occupies its part, in milliseconds; a part handles one write at a time.
 const WRITE_MS: Micros = 5;
-/// Into how many parts the jobs are spread.
+/// Number of parts that the table of jobs is split into.
 pub const JOB_PARTS: u32 = 32;
-/// The part that the owner writes to.
+/// Index of the part for the owner's writes, which follows the parts for jobs.
 const OWNER_PART: usize = JOB_PARTS as usize;
-/// The most rows of one answer.
+/// Maximum number of rows in a page of progress.
 const PAGE_ROWS: usize = 500;
-/// The store's clock at the start of a play.
+/// The store's clock at the start of a simulation, in milliseconds.
 const CLOCK_START_MS: Millis = 5_000_000;
-/// What a write waits for its turn at most before it is turned away.
-const LONGEST_TURN: Micros = 1_000 * MS;
+/// Longest time that a write waits for its part; if it would wait longer, it is rejected.
+const MAX_WRITE_WAIT: Micros = 1_000 * MS;
 
-/// What an owner publishes beside progress.
+/// State that a shard owner publishes in addition to progress, for the next owner.
 #[derive(Clone, Debug, Default)]
 pub struct ShardState {
-    /// The workers that may hold tasks.
+    /// The workers that may run tasks.
     pub roster: WorkerRoster,
-    /// The marks of silent ones.
+    /// The silence records of workers that do not answer.
     pub silent: SilentWorkers,
-    /// What is learnt of images.
-    pub strengths: InterferenceRow,
-    /// Their bytes as rows.
+    /// The learnt interference between images.
+    pub interference: InterferenceRow,
+    /// The sizes of these three as rows, in bytes.
     bytes: [u64; 3],
 }
 
-/// An answer, how large it is and when the store has it.
+/// An answer with its size and time.
 #[derive(Debug)]
 pub struct StoreAnswer {
-    /// What is answered.
+    /// The answer.
     pub reply: StoreReply,
-    /// Its bytes.
+    /// Its size in bytes.
     pub bytes: u64,
-    /// When it leaves the store.
+    /// The time at which it leaves the store.
     pub at: Micros,
 }
 
-/// All rows.
+/// The store's rows and state.
 #[derive(Debug)]
 pub struct EmulatedStore {
     version: RowVersion,
     owner: StoredRow,
-    /// Jobs and marks in the order of their versions, with their sizes.
+    /// Jobs and cancellations in the order of their versions, with their sizes in bytes.
     jobs: Vec<(RowVersion, JobRow, u64)>,
+    /// All known job numbers, and whether the job is cancelled.
     numbers: BTreeMap<JobNumber, bool>,
-    /// Progress with the size of each row.
+    /// Progress rows with their sizes in bytes.
     pub progress: BTreeMap<JobNumber, (ProgressRow, u64)>,
     shard: ShardState,
     config: (RowVersion, ConfigRow),
+    /// The time at which each part is free for the next write.
     parts_free: Vec<Micros>,
-    /// Until when it answers nobody.
+    /// The time until which it answers nobody.
     pub silent_until: Micros,
-    /// Until when it is slow, and by how much.
+    /// The time until which it is slow, and the factor by which its answers then take longer.
     pub slow: (Micros, u64),
 }
 
@@ -95,7 +97,7 @@
 }
 
 impl EmulatedStore {
-    /// Its clock.
+    /// The store's clock at a virtual time, in milliseconds.
     pub fn clock_ms(now: Micros) -> Millis {
         CLOCK_START_MS + now / MS
     }
@@ -110,7 +112,7 @@
         self.owner.row.owner.as_ref().map(|owner| owner.as_str())
     }
 
-    /// The operator writes a configuration; returns its version.
+    /// Writes a configuration with `routes` routes, as the operator does; returns its version.
     pub fn configure(&mut self, routes: usize) -> u64 {
         self.version += 1;
         let version = self.config.1.version + 3;
@@ -125,35 +127,35 @@
         }
     }
 
-    /// When a write in a part is done; none where it would wait for too long.
-    fn take_turn(&mut self, now: Micros, part: usize) -> Option<Micros> {
+    /// Queues a write in a part; returns the time at which it is done, or `None` if it would wait too long.
+    fn schedule_write(&mut self, now: Micros, part: usize) -> Option<Micros> {
         let slowness = self.slowness(now);
         let free = &mut self.parts_free[part];
         let begins = now.max(*free);
-        if begins > now + LONGEST_TURN {
+        if begins > now + MAX_WRITE_WAIT {
             return None;
         }
         *free = begins + WRITE_MS * MS * slowness;
         Some(*free)
     }
 
-    /// Whether a feed has something to say.
-    pub fn has_changes(&self, ask: &StoreCall) -> bool {
-        match ask {
+    /// Whether a feed has changes to report; `true` for all other calls.
+    pub fn has_changes(&self, call: &StoreCall) -> bool {
+        match call {
             StoreCall::FollowJobs(after) => self.jobs.last().is_some_and(|row| row.0 > *after),
             StoreCall::FollowConfig(after) => self.config.0 > *after,
             _ => true,
         }
     }
 
-    /// Answers what a host asks for, as of now.
+    /// Executes a call of a host at `now`. `workers` is the current list of workers.
     pub fn answer(
         &mut self,
         now: Micros,
-        ask: &StoreCall,
+        call: &StoreCall,
         workers: &[WorkerListing],
     ) -> StoreAnswer {
-        let part = match ask {
+        let part = match call {
             StoreCall::Write(_) => Some(OWNER_PART),
             StoreCall::PutJob(_, number, _) | StoreCall::PutCancel(_, number) => {
                 Some(job_part(*number) as usize)
@@ -161,27 +163,27 @@
             _ => None,
         };
         let at = match part {
-            Some(part) => self.take_turn(now, part),
+            Some(part) => self.schedule_write(now, part),
             None => Some(now + ANSWER_MS * MS * self.slowness(now)),
         };
         let Some(at) = at else {
             return StoreAnswer {
                 reply: StoreReply::Rejected,
                 bytes: sizes::plain_answer(),
-                at: now + LONGEST_TURN,
+                at: now + MAX_WRITE_WAIT,
             };
         };
-        let (reply, bytes) = self.reply(now, ask, workers);
+        let (reply, bytes) = self.reply(now, call, workers);
         StoreAnswer { reply, bytes, at }
     }
 
     fn reply(
         &mut self,
         now: Micros,
-        ask: &StoreCall,
+        call: &StoreCall,
         workers: &[WorkerListing],
     ) -> (StoreReply, u64) {
-        match ask {
+        match call {
             StoreCall::ReadOwner | StoreCall::CheckWrite => {
                 (StoreReply::Owner(self.owner.clone()), sizes::owner_row())
             }
@@ -261,10 +263,10 @@
                 ..CommitBatch::default()
             });
         }
-        if let Some(strengths) = &batch.interference {
-            self.shard.strengths = strengths.clone();
+        if let Some(interference) = &batch.interference {
+            self.shard.interference = interference.clone();
             self.shard.bytes[2] = written(CommitBatch {
-                interference: Some(strengths.clone()),
+                interference: Some(interference.clone()),
                 ..CommitBatch::default()
             });
         }
@@ -315,7 +317,7 @@
     }
 }
 
-/// The part that a job's row is in.
+/// The part that holds a job's row.
 fn job_part(number: JobNumber) -> u32 {
     (number.0 % u64::from(JOB_PARTS)) as u32
 }
--- a/crates/emulator/src/world/look.rs
+++ b/crates/emulator/src/world/look.rs
@@ -177,7 +177,7 @@
             }
             let calm_since = self.watch.calm_since(index);
             let sight = HostSight {
-                life: host.life,
+                life: host.incarnation,
                 version: host.config_version(),
                 calm_since: calm_since.filter(|_| host.up).map(|since| since / MS),
             };
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -198,7 +198,7 @@
     }
 
     fn lives(&self, life: HostLife) -> bool {
-        self.hosts[life.host].life == life.life
+        self.hosts[life.host].incarnation == life.life
     }
 
     fn happen(&mut self, happening: Happening) {
@@ -304,7 +304,7 @@
     fn life_of(&self, host: usize) -> HostLife {
         HostLife {
             host,
-            life: self.hosts[host].life,
+            life: self.hosts[host].incarnation,
         }
     }
 }
--- a/crates/emulator/src/world/strike.rs
+++ b/crates/emulator/src/world/strike.rs
@@ -133,7 +133,7 @@
             self.queue.push(at, Happening::HostStarts(host));
         }
         self.parked
-            .retain(|(life, ..)| self.hosts[life.host].life == life.life);
+            .retain(|(life, ..)| self.hosts[life.host].incarnation == life.life);
     }
 
     fn remove_hosts(&mut self, choice: HostChoice) {
