--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! One worker of the platform: what it does on orders, and its runs as time passes.
+//! Emulates a worker of the platform: its handling of orders, its lease and the progress of its runs.
 
 mod run;
 
@@ -17,17 +17,18 @@
 use crate::queue::{Micros, MS};
 use run::LiveRun;
 
-/// How long a stop takes.
+/// Time from an order to stop a run until the run ends, in milliseconds.
 const STOP_MS: Millis = 300;
-/// What of its processors filling tasks get at most, in thousandths.
-const FILL_MILLIS: u64 = 950;
+/// Share of a worker's processors that ordinary and filling tasks divide between them, in thousandths: filling tasks get what
+/// ordinary tasks leave of it. Serving tasks don't count.
+const FILL_LIMIT_THOUSANDTHS: u64 = 950;
 
-/// Where the worker at a place takes orders.
+/// The address at which the worker with index `place` accepts orders.
 pub fn address_of(place: usize) -> SocketAddr {
     ([10, 200, (place / 200) as u8, (place % 200) as u8], 9_000).into()
 }
 
-/// The place of an address.
+/// The index of the worker with an address; 0 for an IPv6 address.
 pub fn place_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => {
@@ -38,56 +39,62 @@
     }
 }
 
-/// A life of a worker and its clock, which starts anew with each.
+/// An incarnation of a worker and its clock, which starts anew with each incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct IncarnationClock {
-    /// Which life it is.
+    /// The incarnation.
     pub incarnation: WorkerIncarnation,
-    /// When it began.
+    /// The virtual time at which it started.
     pub at: Micros,
-    /// What its clock shows then.
+    /// The worker's clock at that time, in milliseconds.
     pub clock: u64,
-    /// How fast that runs, in percent.
+    /// Speed of the worker's clock, in percent of virtual time.
     pub clock_percent: u64,
 }
 
 impl IncarnationClock {
+    /// The worker's clock at a virtual time, in milliseconds.
     fn clock(&self, now: Micros) -> u64 {
         self.clock + (now - self.at) * self.clock_percent / 100 / MS
     }
 
-    /// When its clock shows more than so much.
+    /// A virtual time by which the worker's clock has passed `clock`.
     fn after(&self, clock: u64) -> Micros {
         let left = (clock + 1).saturating_sub(self.clock);
         self.at + left * 100 * MS / self.clock_percent + MS
     }
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct EmulatedWorker {
-    /// Its incarnation.
+    /// Its name.
     pub id: WorkerId,
     incarnation_clock: IncarnationClock,
-    /// All that it has.
+    /// Its total capacity.
     pub capacity: ResourceSize,
-    /// Since when it says that it leaves.
+    /// The time since which it announces that it is draining.
     pub draining_since: Option<Micros>,
-    /// Whether it takes orders in without an answer.
+    /// Whether it accepts orders without answering them.
     pub hangs: bool,
+    /// The highest epoch seen; orders of lower epochs are refused.
     fence: u64,
-    /// The lease's end on its own clock.
+    /// The end of its lease on its own clock, in milliseconds.
     lease_until: u64,
     runs: BTreeMap<TaskKey, LiveRun>,
+    /// The highest run of each task that was started or stopped here.
     newest: HashMap<TaskKey, u64>,
+    /// Ended runs that the owner has not yet acknowledged.
     ended: Vec<(Micros, EndReport)>,
     end_count: u64,
+    /// The last time at which its lease was found to have run out.
     lapsed_at: Micros,
+    /// The time up to which its runs have been advanced.
     advanced_at: Micros,
 }
 
 impl EmulatedWorker {
-    /// A worker that has just started.
+    /// Creates a worker that has just started.
     pub fn new(id: WorkerId, incarnation_clock: IncarnationClock, capacity: ResourceSize) -> Self {
         Self {
             id,
@@ -110,16 +117,16 @@
         self.incarnation_clock.clock(now)
     }
 
-    /// What its runs take of its room.
+    /// The capacity that its runs occupy.
     pub fn used(&self) -> ResourceSize {
         let rooms = self.runs.values().map(|run| run.facts.room);
         rooms.fold(ResourceSize::default(), |sum, room| {
             sum.plus(&room)
-                .expect("sizes are far from the largest number")
+                .expect("the sum of resource sizes does not overflow")
         })
     }
 
-    /// The runs at work, for the oracle when the worker dies.
+    /// The current runs, which the oracle needs when the worker crashes.
     pub fn running(&self) -> Vec<RunKey> {
         let keys = self.runs.iter();
         keys.map(|(task, run)| RunKey {
@@ -129,12 +136,12 @@
         .collect()
     }
 
-    /// Whether ends wait to be acknowledged.
+    /// Whether it has ended runs that the owner has not yet acknowledged.
     pub fn has_unacknowledged_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// When something happens here next without an order.
+    /// The next time at which a run ends or the lease runs out if no order arrives; `None` if there are no runs.
     pub fn next_change(&self) -> Option<Micros> {
         let ends = self.runs.values();
         let ends = ends.filter_map(|run| run.ends_at(self.advanced_at));
@@ -143,7 +150,7 @@
         ends.chain(lapse).min()
     }
 
-    /// Brings the runs up to the present; returns whether one has ended.
+    /// Advances the runs to the present, and ends all of them if the lease has run out; returns whether a run has ended.
     pub fn advance(&mut self, now: Micros, oracle: &mut PlatformOracle) -> bool {
         let passed = now - self.advanced_at;
         self.advanced_at = now;
@@ -191,13 +198,14 @@
         oracle.ended(&self.id, key, Some(outcome));
     }
 
-    /// Deals the processors that ordinary tasks leave to filling ones.
+    /// Distributes the processor time that ordinary tasks leave among the filling tasks.
     fn share_processors(&mut self) {
         let ordinary = self.runs.values();
         let ordinary =
             ordinary.filter(|run| run.facts.fills.is_none() && run.facts.serving.is_none());
         let taken: u64 = ordinary.map(|run| run.facts.cpu_millis).sum();
-        let free = (self.capacity.cpu_millis * FILL_MILLIS / 1_000).saturating_sub(taken);
+        let free =
+            (self.capacity.cpu_millis * FILL_LIMIT_THOUSANDTHS / 1_000).saturating_sub(taken);
         let paced = |run: &LiveRun| run.facts.cpu_millis * u64::from(run.pace) / 100;
         let filling = self.runs.values().filter(|run| run.facts.fills.is_some());
         let wanted: u64 = filling.map(paced).sum();
@@ -211,7 +219,7 @@
         }
     }
 
-    /// What fills here, by image, in shares of all processors.
+    /// The images of the filling runs, each with the share of all processors that it uses.
     fn filling(&self) -> Vec<(usize, f64)> {
         let whole = self.capacity.cpu_millis as f64 * 1_000.0;
         let runs = self.runs.values();
@@ -222,7 +230,7 @@
         used.collect()
     }
 
-    /// Carries an order out, or doesn't; the answer is what its sender learns.
+    /// Carries out or refuses an order; returns the answer as the sender's scheduler event.
     pub fn handle_order(
         &mut self,
         epoch: u64,
@@ -255,8 +263,8 @@
                 self.pace(key, *percent);
                 JobEvent::PaceAnswered(id, *key, OrderAnswer::Done(clock))
             }
-            WorkerCall::Renew(hold) => {
-                self.prolong(clock, hold, context);
+            WorkerCall::Renew(renewal) => {
+                self.renew_lease(clock, renewal, context);
                 self.report(context.now, context.interference)
             }
         }
@@ -348,22 +356,22 @@
         }
     }
 
-    fn prolong(&mut self, clock: u64, hold: &RenewalCall, context: &mut WorkerContext<'_>) {
-        if let Some(deadline) = hold.deadline {
+    fn renew_lease(&mut self, clock: u64, renewal: &RenewalCall, context: &mut WorkerContext<'_>) {
+        if let Some(deadline) = renewal.deadline {
             self.lease_until = self
                 .lease_until
                 .max(deadline.min(clock + context.max_lease_ms));
         }
         for (at, end) in &self.ended {
-            // An end whose worker's lease has run out since doesn't count as acknowledged.
-            if end.number <= hold.last_seen && self.lapsed_at <= *at {
+            // If the lease has run out after a run's end, that end does not count as acknowledged.
+            if end.number <= renewal.last_seen && self.lapsed_at <= *at {
                 context.oracle.acknowledged(end.key, end.outcome);
             }
         }
-        self.ended.retain(|(_, end)| end.number > hold.last_seen);
+        self.ended.retain(|(_, end)| end.number > renewal.last_seen);
     }
 
-    /// What runs here and what has ended.
+    /// Reports the current runs and the ended runs that are not yet acknowledged.
     pub fn report(&self, now: Micros, interference: &InterferenceModel) -> JobEvent {
         let filling = self.filling();
         let running = self.runs.iter().map(|(task, run)| {
@@ -371,9 +379,9 @@
             let tail = serving.map(|task| interference.tail_ms(task, now / MS, &filling) as u64);
             let used = run.facts.cpu_millis * run.speed / 1_000;
             let total = (run.facts.work_ms * MS).max(1);
-            let at_work = now >= run.began + STANDING_START_MS * MS;
+            let running = now >= run.began + STANDING_START_MS * MS;
             let percent = match run.facts.standing {
-                true => u64::from(at_work) * 100,
+                true => u64::from(running) * 100,
                 false => (total.saturating_sub(run.left)) * 99 / total,
             };
             RunReport {
@@ -397,25 +405,26 @@
     }
 }
 
-/// What a worker's doing depends on and is told to.
+/// The surroundings of a worker while it handles an order.
 pub struct WorkerContext<'a> {
-    /// The time.
+    /// The current virtual time.
     pub now: Micros,
-    /// The longest lease that it grants.
+    /// The longest lease that a worker accepts, in milliseconds.
     pub max_lease_ms: Millis,
-    /// After how long a worker that says that it leaves must get nothing new.
+    /// Time after the announcement of draining from which on a worker must not get new runs, in milliseconds.
     pub drain_ms: Millis,
-    /// Whether the sender has not been disturbed for some time.
+    /// Whether nothing has disturbed the sender for some time.
     pub in_touch: bool,
-    /// The jobs.
+    /// All submitted jobs.
     pub catalog: &'a JobCatalog,
-    /// How tasks disturb each other.
+    /// The interference between tasks.
     pub interference: &'a InterferenceModel,
-    /// Sees what happens.
+    /// The oracle that is notified of starts, ends and acknowledgements.
     pub oracle: &'a mut PlatformOracle,
 }
 
 impl WorkerContext<'_> {
+    /// Whether a start now violates the rule that a draining worker gets no new runs.
     fn is_late_for(&self, draining_since: Micros) -> bool {
         self.in_touch && self.now > draining_since + self.drain_ms * MS
     }
--- a/crates/emulator/src/worker/run.rs
+++ b/crates/emulator/src/worker/run.rs
@@ -1,4 +1,4 @@
-//! A run at work on a worker, and how far it is.
+//! A current run on a worker and its progress.
 
 use sandshelf_jobs::RunOutcome;
 use sandshelf_model::Millis;
@@ -6,40 +6,45 @@
 use crate::catalog::TaskFacts;
 use crate::queue::{Micros, MS};
 
-/// How much work lies between two checkpoints.
+/// Work between two checkpoints, in milliseconds at full pace.
 const CHECKPOINT_MS: Millis = 1_000;
 
-/// A run at work.
+/// A current run.
 #[derive(Clone, Debug)]
 pub(super) struct LiveRun {
     pub(super) run: u64,
     pub(super) facts: TaskFacts,
     pub(super) began: Micros,
-    /// The work that is left, in microseconds at full pace.
+    /// Remaining work, in microseconds at full pace.
     pub(super) left: u64,
-    /// After how much work from the start this run fails.
+    /// Work after which this run fails, in microseconds at full pace, counted from its start; `None` if it does not fail.
     pub(super) fails_at: Option<u64>,
+    /// Work done since its start, in microseconds at full pace.
     pub(super) done: u64,
+    /// The pace that the owner ordered, in percent.
     pub(super) pace: u32,
-    /// How fast it works, in thousandths.
+    /// Actual speed, in thousandths of the full pace.
     pub(super) speed: u64,
+    /// The time at which it ends because of an order to stop it.
     pub(super) stops_at: Option<Micros>,
 }
 
 impl LiveRun {
+    /// Does the work of a time span.
     pub(super) fn work(&mut self, passed: Micros) {
         let worked = passed * self.speed / 1_000;
         self.done += worked;
         self.left = self.left.saturating_sub(worked);
     }
 
-    /// How much work is left until it is done or fails.
+    /// Remaining work until it is done or fails; `None` for a standing task that does not fail.
     pub(super) fn until_end(&self) -> Option<u64> {
         let fails = self.fails_at.map(|at| at.saturating_sub(self.done));
         let done = (!self.facts.standing).then_some(self.left);
         fails.into_iter().chain(done).min()
     }
 
+    /// How it has ended by `now`; `None` while it runs.
     pub(super) fn outcome(&self, now: Micros) -> Option<RunOutcome> {
         if self.stops_at.is_some_and(|at| now >= at) {
             return Some(RunOutcome::Stopped);
@@ -50,15 +55,15 @@
         (self.until_end() == Some(0)).then_some(RunOutcome::Done)
     }
 
-    /// When it ends if nothing changes.
+    /// The time at which it ends if its speed stays the same; `None` if it does not end.
     pub(super) fn ends_at(&self, now: Micros) -> Option<Micros> {
         let work = self.until_end().filter(|_| self.speed > 0);
-        // One more microsecond makes up for the remainder of the division.
+        // The additional microsecond rounds the division up.
         let over = work.map(|left| now + left * 1_000 / self.speed.max(1) + 1);
         over.into_iter().chain(self.stops_at).min()
     }
 
-    /// How much of the work is saved, as a text.
+    /// The work covered by its last checkpoint, in milliseconds as a hexadecimal number; `None` if there is no checkpoint.
     pub(super) fn checkpoint(&self) -> Option<String> {
         let total = self.facts.work_ms * MS;
         let saved = total.saturating_sub(self.left) / (CHECKPOINT_MS * MS) * CHECKPOINT_MS;
--- a/crates/emulator/tests/daemon.rs
+++ b/crates/emulator/tests/daemon.rs
@@ -1,5 +1,5 @@
-//! The emulated hosts have the durations of the daemon's control thread: where one is changed there, it has to be changed in
-//! `src/host` as well.
+//! Checks that the constants of the emulated hosts equal those of the daemon's control thread. A constant that changes in the
+//! daemon has to change in `src/host` as well.
 
 const DAEMON: [&str; 6] = [
     include_str!("../../sandshelfd/src/jobs/owner.rs"),
@@ -17,7 +17,7 @@
     include_str!("../src/host/calls.rs"),
 ];
 
-/// What a constant is set to in one of the sources.
+/// Returns the value of a constant as written in the first source that defines it.
 fn value<'a>(sources: &[&'a str], name: &str) -> &'a str {
     let begins = format!("const {name}: ");
     let lines = sources.iter().flat_map(|source| source.lines());
@@ -25,23 +25,23 @@
         .filter_map(|line| line.split_once(&begins))
         .map(|(_, rest)| rest)
         .next();
-    let line = line.unwrap_or_else(|| panic!("{name} is nowhere set"));
+    let line = line.unwrap_or_else(|| panic!("no source defines {name}"));
     let (_, value) = line.split_once(" = ").expect("a constant has a value");
     value
 }
 
-fn same(name: &str) {
+fn check_equal(name: &str) {
     assert_eq!(value(&DAEMON, name), value(&EMULATOR, name), "{name}");
 }
 
 sandshelf_cases::cases! {
-    shard_lease => same("SHARD_LEASE_MS");
-    stagger => same("STAGGER_MS");
-    watch_period => same("WATCH_EVERY_MS");
-    first_claim => same("FIRST_CLAIM_FACTOR");
-    strong_processor => same("STRONG_PROCESSOR_MILLIS");
-    weak_processor => same("WEAK_PROCESSOR_MILLIS");
-    weak_link => same("WEAK_LINK_KBIT_PER_S");
-    parts_at_once => same("PARTS_AT_ONCE");
-    jobs_wait => same("JOBS_WAIT_MS");
+    shard_lease => check_equal("SHARD_LEASE_MS");
+    stagger => check_equal("STAGGER_MS");
+    watch_period => check_equal("WATCH_EVERY_MS");
+    first_claim => check_equal("FIRST_CLAIM_FACTOR");
+    strong_processor => check_equal("STRONG_PROCESSOR_MILLIS");
+    weak_processor => check_equal("WEAK_PROCESSOR_MILLIS");
+    weak_link => check_equal("WEAK_LINK_KBIT_PER_S");
+    parts_at_once => check_equal("PARTS_AT_ONCE");
+    jobs_wait => check_equal("JOBS_WAIT_MS");
 }
--- a/crates/emulator/tests/grown.rs
+++ b/crates/emulator/tests/grown.rs
@@ -1,27 +1,27 @@
-//! Days at the grown size, on the product's own scheduler.
+//! Simulates days at production size with the product's own scheduler.
 
 use sandshelf_emulator::day::DayPlan;
 use sandshelf_emulator::days::{day, DAYS};
 use sandshelf_emulator::deployment::Deployment;
 use sandshelf_emulator::world::EmulatedWorld;
 
-/// How long callers hand jobs in where a play is cut short, in milliseconds.
-const SHORT_MS: u64 = 24_000;
+/// Duration of the traffic in a shortened simulation, in milliseconds.
+const SHORT_TRAFFIC_MS: u64 = 24_000;
 
-/// Plays a day with a seed; no rule may be broken.
-fn holds(name: &str, deployment: Deployment, seed: u64) {
+/// Simulates a day with a seed and checks that no rule is broken.
+fn check_day(name: &str, deployment: Deployment, seed: u64) {
     let plan = day(name, deployment).expect("the day is known");
-    holds_plan(name, plan, seed);
+    check_plan(name, plan, seed);
 }
 
-/// The same day, cut short.
-fn holds_short(name: &str, deployment: Deployment, seed: u64) {
+/// Like `check_day`, with the traffic shortened.
+fn check_short_day(name: &str, deployment: Deployment, seed: u64) {
     let mut plan = day(name, deployment).expect("the day is known");
-    plan.length_ms = SHORT_MS;
-    holds_plan(name, plan, seed);
+    plan.length_ms = SHORT_TRAFFIC_MS;
+    check_plan(name, plan, seed);
 }
 
-fn holds_plan(name: &str, plan: DayPlan, seed: u64) {
+fn check_plan(name: &str, plan: DayPlan, seed: u64) {
     let mut world = EmulatedWorld::new(seed, plan);
     world.play();
     let report = world.report();
@@ -39,11 +39,11 @@
     }
 }
 
-/// Longer runs by hand: `SANDSHELF_SEEDS=1:20` names the seeds, `SANDSHELF_DAYS=burst,weak` the days (all of them without it) and
-/// `SANDSHELF_SITE=code-search` the site (auction without it). Without seeds one short day is played.
-fn by_hand() {
+/// Longer manual runs. `SANDSHELF_SEEDS=1:20` sets the seeds, `SANDSHELF_DAYS=burst,weak` the days (default: all) and
+/// `SANDSHELF_SITE=code-search` the site (default: auction). Without `SANDSHELF_SEEDS` one day of the small site is simulated.
+fn run_manual_seeds() {
     let Ok(seeds) = std::env::var("SANDSHELF_SEEDS") else {
-        return holds("calm", Deployment::small(), 1);
+        return check_day("calm", Deployment::small(), 1);
     };
     let (first, last) = seeds
         .split_once(':')
@@ -54,19 +54,19 @@
     let days = std::env::var("SANDSHELF_DAYS").unwrap_or(all);
     for name in days.split(',') {
         for seed in number(first)..=number(last) {
-            holds(name, deployment(&site), seed);
+            check_day(name, deployment(&site), seed);
         }
     }
 }
 
 sandshelf_cases::cases! {
-    strong_owner_under_the_burst => holds_short("burst", Deployment::auction(), 1);
-    all_hosts_killed_twice => holds("lost-twice", Deployment::code_search(), 1);
-    owners_killed_beside_dead_racks => holds_short("owners", Deployment::auction(), 1);
-    images_fail_and_orders_are_late => holds_short("images", Deployment::code_search(), 1);
-    large_configurations_in_quick_succession => holds_short("storm", Deployment::code_search(), 1);
-    connections_fall_silent => holds_short("silent", Deployment::auction(), 1);
-    workers_start_again_under_their_names => holds_short("restarts", Deployment::auction(), 1);
-    the_owners_hall_is_cut_off => holds_short("cuts", Deployment::auction(), 1);
-    seeds_by_hand => by_hand();
+    strong_owner_during_a_burst => check_short_day("burst", Deployment::auction(), 1);
+    all_hosts_killed_twice => check_day("lost-twice", Deployment::code_search(), 1);
+    owners_killed_while_racks_are_dead => check_short_day("owners", Deployment::auction(), 1);
+    images_fail_and_orders_are_late => check_short_day("images", Deployment::code_search(), 1);
+    large_configurations_in_quick_succession => check_short_day("storm", Deployment::code_search(), 1);
+    connections_stop_delivering => check_short_day("silent", Deployment::auction(), 1);
+    workers_restart_under_their_names => check_short_day("restarts", Deployment::auction(), 1);
+    the_owners_hall_is_cut_off => check_short_day("cuts", Deployment::auction(), 1);
+    manual_seeds => run_manual_seeds();
 }
--- a/crates/emulator/tests/models.rs
+++ b/crates/emulator/tests/models.rs
@@ -1,4 +1,4 @@
-//! The parts that the emulated world is made of.
+//! Tests the event queue and the models of processors and links.
 
 use sandshelf_emulator::capacity::{LinkModel, ProcessorModel};
 use sandshelf_emulator::queue::{EventQueue, MS};
@@ -20,7 +20,7 @@
     assert_eq!(queue.pop_until(7), Some((7, ())));
 }
 
-/// A core's time takes as much longer as the share is smaller, one thing after the other.
+/// Work on a share of a core takes longer in inverse proportion to the share, and pieces of work run one after the other.
 fn share_of_a_core() {
     let mut processor = ProcessorModel::new(120);
     assert_eq!(processor.work(0, 12 * MS), 100 * MS);
@@ -35,7 +35,7 @@
     assert_eq!(processor.work(10 * MS, MS), 12 * MS);
 }
 
-/// 10 Mbit/s carry 1.25 MB a second.
+/// A link of 10 Mbit/s carries 1.25 MB per second.
 fn bytes_of_a_link() {
     let mut link = LinkModel::new(10_000);
     assert_eq!(link.carry(0, 125_000), 100 * MS);
@@ -44,9 +44,9 @@
 }
 
 sandshelf_cases::cases! {
-    what_is_next_comes_first => queue_keeps_order();
-    nothing_comes_early => queue_stops_at_its_time();
+    events_come_in_order => queue_keeps_order();
+    no_event_after_the_limit => queue_stops_at_its_time();
     a_share_of_a_core_takes_longer => share_of_a_core();
-    a_core_is_slowed_for_a_while => slowed_core();
-    a_link_carries_bytes_in_turn => bytes_of_a_link();
+    a_core_is_slowed_until_a_time => slowed_core();
+    a_link_sends_bytes_in_order => bytes_of_a_link();
 }
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -1,11 +1,11 @@
-//! What the oracle of hosts, and the looks at what is at work, take for broken.
+//! Tests which observations of hosts and of running tasks the oracles report as broken rules.
 
 use sandshelf_emulator::oracle::{BrokenRule, HostOracle, HostSight, PlatformOracle, RuleBounds};
 use sandshelf_jobs::{JobNumber, JobSpec, QueueRules, RunKey, StepSpec, TaskKey};
 use sandshelf_model::{ResourceSize, WorkerId};
 
-/// When the version 7 of the configuration is acknowledged.
-const CONFIGURED_MS: u64 = 10_000;
+/// The time at which version 7 of the configuration is acknowledged, in milliseconds.
+const CONFIGURED_AT_MS: u64 = 10_000;
 
 fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostSight {
     HostSight {
@@ -15,11 +15,11 @@
     }
 }
 
-/// What is broken by a host that is seen so, one sight after the other.
-fn seen(sights: &[(u64, HostSight)]) -> Vec<BrokenRule> {
+/// Returns the rules that are reported for a host with these successive observations.
+fn broken_by(sights: &[(u64, HostSight)]) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
     let mut hosts = HostOracle::new(RuleBounds::GROWN);
-    hosts.configured(CONFIGURED_MS, 7);
+    hosts.configured(CONFIGURED_AT_MS, 7);
     for (at, sight) in sights {
         hosts.look(*at, 0, sight, 0, &mut oracle);
     }
@@ -27,14 +27,15 @@
 }
 
 fn breaks_config(sights: &[(u64, HostSight)]) {
-    assert_eq!(seen(sights), [BrokenRule::Config]);
+    assert_eq!(broken_by(sights), [BrokenRule::Config]);
 }
 
 fn keeps_config(sights: &[(u64, HostSight)]) {
-    assert_eq!(seen(sights), []);
+    assert_eq!(broken_by(sights), []);
 }
 
-/// A day of one request every 100 ms, all hosts lost from 10 to 11 s, of which so many of ten are served before and after.
+/// One request every 100 ms, with all hosts lost from 10 to 11 s. Of ten requests, `before` are served before the loss and `after`
+/// from then on.
 fn recovery(before: u64, after: u64) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
     let mut hosts = HostOracle::new(RuleBounds::GROWN);
@@ -50,7 +51,7 @@
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
-/// A task of a job that is cancelled at 1 s is still at work at a time; nothing has been disturbed since another.
+/// A task of a job that was cancelled at 1 s is still running at `now`; nothing has been disturbed since `calm_since`.
 fn stopped_at(now: u64, calm_since: u64) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::with_bounds(RuleBounds::GROWN);
     let rules = QueueRules {
@@ -89,10 +90,10 @@
 
 sandshelf_cases::cases! {
     config_late => breaks_config(&[(13_100, sight(Some(6), Some(0)))]);
-    config_late_is_told_once => breaks_config(&[
+    config_late_is_reported_once => breaks_config(&[
         (13_100, sight(Some(6), Some(0))), (13_200, sight(Some(6), Some(0)))]);
     config_never_there => breaks_config(&[(13_100, sight(None, Some(0)))]);
-    config_gone_back => breaks_config(&[
+    config_version_goes_back => breaks_config(&[
         (12_000, sight(Some(7), Some(0))), (12_100, sight(Some(4), Some(0)))]);
     config_in_time => keeps_config(&[
         (12_900, sight(Some(6), Some(0))), (13_000, sight(Some(7), Some(0)))]);
