--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -2,7 +2,7 @@
 
 use crate::queue::{Micros, MS};
 
-/// A share of a processor core that works on one thing at a time, in the order of arrival.
+/// A share of a processor core that works on one thing at a time, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct ProcessorModel {
     /// The host's share, in thousandths of a core.
--- a/crates/emulator/src/catalog.rs
+++ b/crates/emulator/src/catalog.rs
@@ -1,4 +1,4 @@
-//! All jobs ever submitted, with the properties of their tasks that the scheduler is not told: run times and failing runs.
+//! All jobs ever submitted, with the properties of their tasks that the scheduler does not know: run times and failing runs.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/crates/emulator/src/costs.rs
+++ b/crates/emulator/src/costs.rs
@@ -17,8 +17,8 @@
 pub const CONNECT_US: Micros = 60;
 /// A tick of the control thread with its timers. Idle hosts use 3.6 thousandths of a core for 40 ticks a second.
 pub const TICK_US: Micros = 25;
-/// Handling a call that timed out.
-const TIMEOUT_US: Micros = 15;
+/// Giving up a call that timed out.
+const GIVE_UP_US: Micros = 15;
 /// A caller's request with its headers and its answer, without the calls to the store that it causes.
 pub const REQUEST_US: Micros = 120;
 /// Start of the process until it accepts connections.
@@ -74,8 +74,8 @@
 }
 
 /// Cost of giving up a call that timed out.
-pub fn timeout_us() -> Micros {
-    TIMEOUT_US
+pub fn give_up_us() -> Micros {
+    GIVE_UP_US
 }
 
 /// Cost of one scheduler step that handles `events` and returns `actions`. `pass` is the number of waiting tasks if the step
--- a/crates/emulator/src/host/calls.rs
+++ b/crates/emulator/src/host/calls.rs
@@ -70,7 +70,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerConnections {
     generation: u32,
+    /// Number of open connections.
     open: u32,
+    /// Number of connections with a call on them; connections are reused when their call ends.
     in_use: u32,
     /// Whether the open connections have stopped delivering without being closed.
     silent: bool,
--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -60,12 +60,15 @@
     strength: HostStrength,
     max_lease_ms: Millis,
     pub(super) lease: ShardLease,
+    /// The drawn place in the order in which hosts claim; lower ranks claim earlier.
     rank: u32,
     claimed_at: Millis,
     pub(super) owned: Option<OwnedShard>,
     pub(super) waiting_batch: Option<CommitBatch>,
     pub(super) writing: Option<WriteState>,
+    /// Whether a read of the owner's row is in progress.
     reading: bool,
+    /// The time of the next such read, in milliseconds.
     next_read: Millis,
     pub(super) takeover: Option<TakeoverReading>,
 }
@@ -117,14 +120,16 @@
         })
     }
 
+    /// Drops the ownership with its unfinished write and takeover, because the process has ended.
     pub(super) fn clear(&mut self) {
         self.owned = None;
         self.writing = None;
         self.takeover = None;
     }
 
-    /// Whether an earlier process of this host is the recorded owner, so that this one may claim at once. Weak hosts never do.
-    fn owner_is_earlier_process(&self) -> bool {
+    /// Whether this process may claim the shard at once because its recorded owner is an earlier process of the same host.
+    /// Always `false` for weak hosts.
+    fn may_succeed_earlier_process(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
         let earlier = owner.is_some_and(|owner| {
@@ -134,6 +139,7 @@
         watching && earlier && self.strength != HostStrength::Weak
     }
 
+    /// The rank for the next claim. It is larger before the first owner of the shard.
     fn claim_rank(&self) -> u32 {
         let owned_before = self.lease.row().is_some_and(|seen| seen.row.epoch > 0);
         self.rank * if owned_before { 1 } else { FIRST_CLAIM_FACTOR }
@@ -276,7 +282,7 @@
         let now = at / MS;
         let control = &self.control;
         let free = control.lease.may_claim(now, control.claim_rank())
-            || control.owner_is_earlier_process();
+            || control.may_succeed_earlier_process();
         if free && control.writing.is_none() {
             let token = self.token();
             self.control.claimed_at = now;
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -292,7 +292,7 @@
                 let Some(open) = self.calls.close(call) else {
                     return self.processor.free_at().max(now);
                 };
-                let at = self.spend(now, costs::timeout_us());
+                let at = self.spend(now, costs::give_up_us());
                 self.end_call(at, open, None, events);
                 at
             }
