--- a/crates/emulator/src/bin/sandshelf-emulate.rs
+++ b/crates/emulator/src/bin/sandshelf-emulate.rs
@@ -8,7 +8,7 @@
 use lexopt::{Arg, Parser, ValueExt};
 use sandshelf_emulator::days::{day, DAYS};
 use sandshelf_emulator::deployment::Deployment;
-use sandshelf_emulator::report::PlayReport;
+use sandshelf_emulator::report::SimulationReport;
 use sandshelf_emulator::world::EmulatedWorld;
 
 const USAGE: &str = "\
@@ -74,7 +74,7 @@
     }
 }
 
-fn print_seconds(report: &PlayReport) {
+fn print_seconds(report: &SimulationReport) {
     println!(
         "second host epoch  cpu  kbit late_ms  jobs waiting  runs open serving over filling slowed"
     );
@@ -100,7 +100,7 @@
     }
 }
 
-fn print_measured(report: &PlayReport) {
+fn print_measured(report: &SimulationReport) {
     let steps = &report.scheduler_steps;
     let measured: f64 = steps.iter().map(|step| step.took_us).sum();
     let costs: f64 = steps.iter().map(|step| step.costs_us as f64).sum();
--- a/crates/emulator/src/oracle/away.rs
+++ b/crates/emulator/src/oracle/away.rs
@@ -12,7 +12,7 @@
 const STOPS_FOLLOWED_MS: Millis = 60_000;
 
 /// What is free on workers that stay and can be reached.
-pub struct SoundRoom {
+pub struct UsableCapacity {
     /// Whether less than half of all is in use.
     pub under_half: bool,
     /// For how long nothing has been disturbed, in milliseconds; 0 where that isn't followed.
@@ -21,7 +21,7 @@
     pub free: Vec<ResourceSize>,
 }
 
-impl SoundRoom {
+impl UsableCapacity {
     /// Whether a task fits on two workers.
     pub(super) fn has_twice(&self, room: &ResourceSize) -> bool {
         let fits = self.free.iter().filter(|free| room.fits_in(free));
@@ -53,7 +53,7 @@
     /// Looks, some milliseconds after the last look, which standing tasks are away from work though there is room for them.
     ///
     /// Where half of the room or more is in use that counts only once nothing has been disturbed for some time.
-    pub fn look_for_away(&mut self, now: Millis, passed: Millis, room: &SoundRoom) {
+    pub fn check_away_tasks(&mut self, now: Millis, passed: Millis, room: &UsableCapacity) {
         let bound = self.bounds.away_ms;
         let calm = room.calm_ms >= self.bounds.calm_ms;
         let mut late = Vec::new();
@@ -78,7 +78,7 @@
     }
 
     /// Looks which tasks of cancelled jobs are at work for too long; nothing has been disturbed since `calm_since`.
-    pub fn look_for_stops(&mut self, now: Millis, calm_since: Millis) {
+    pub fn check_late_stops(&mut self, now: Millis, calm_since: Millis) {
         let bound = self.bounds.cancel_ms + self.bounds.stop_ms;
         let mut late = Vec::new();
         for (job, at) in &self.cancelled {
--- a/crates/emulator/src/oracle/hosts.rs
+++ b/crates/emulator/src/oracle/hosts.rs
@@ -13,7 +13,7 @@
 
 /// What is seen of a host at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct HostSight {
+pub struct HostObservation {
     /// Which life of its process it is.
     pub life: u32,
     /// The version of the configuration in force; none before the first.
@@ -69,7 +69,7 @@
         &mut self,
         now: Millis,
         host: usize,
-        sight: &HostSight,
+        sight: &HostObservation,
         stretch: Millis,
         oracle: &mut PlatformOracle,
     ) {
@@ -140,7 +140,7 @@
     }
 
     /// Looks, at the end, whether enough requests were served after the last time that all hosts were lost and came back.
-    pub fn look_for_recovery(
+    pub fn check_recovery(
         &self,
         now: Millis,
         lost: Millis,
--- a/crates/emulator/src/oracle/idle.rs
+++ b/crates/emulator/src/oracle/idle.rs
@@ -3,7 +3,7 @@
 use sandshelf_jobs::{JobNumber, JobSpec, TaskKey};
 use sandshelf_model::{Millis, ResourceSize};
 
-use super::{BrokenRule, PlatformOracle, SoundRoom};
+use super::{BrokenRule, PlatformOracle, UsableCapacity};
 
 /// How long that may be.
 const IDLE_MS: Millis = 3_000;
@@ -49,7 +49,7 @@
     /// Looks, some milliseconds after the last look, for jobs of which nothing is at work for too long.
     ///
     /// That counts while less than half of the room is in use.
-    pub fn look_for_idle(&mut self, now: Millis, passed: Millis, room: &SoundRoom) {
+    pub fn check_idle_jobs(&mut self, now: Millis, passed: Millis, room: &UsableCapacity) {
         let counts = room.under_half;
         let mut late = Vec::new();
         for (number, job) in &mut self.open {
--- a/crates/emulator/src/oracle/mod.rs
+++ b/crates/emulator/src/oracle/mod.rs
@@ -12,9 +12,9 @@
 use sandshelf_model::{Millis, ResourceSize, WorkerId};
 
 use away::AwayTimes;
-pub use away::SoundRoom;
+pub use away::UsableCapacity;
 use crashes::CrashCounts;
-pub use hosts::{HostOracle, HostSight};
+pub use hosts::{HostObservation, HostOracle};
 use idle::OpenJob;
 
 /// The times within which things have to happen, in milliseconds.
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -32,7 +32,7 @@
 
 /// One owner from its claim on; times are those of the traffic, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct TakeoverSeen {
+pub struct OwnerTakeover {
     /// Its epoch.
     pub epoch: u64,
     /// The host.
@@ -47,7 +47,7 @@
 
 /// When all hosts were lost, and when the last of them was back.
 #[derive(Clone, Copy, Debug)]
-pub struct LossTimes {
+pub struct HostOutage {
     /// When the last was lost.
     pub lost_ms: Millis,
     /// When the last was back.
@@ -77,7 +77,7 @@
 
 /// What is told of a play.
 #[derive(Clone, Debug, Default)]
-pub struct PlayReport {
+pub struct SimulationReport {
     /// How many calls hosts made.
     pub calls: CallCounts,
     /// For how long nothing may have been disturbed for rules with a time bound.
@@ -101,11 +101,11 @@
     /// How many paces were set.
     pub paced: usize,
     /// Owners, one after the other.
-    pub takeovers: Vec<TakeoverSeen>,
+    pub takeovers: Vec<OwnerTakeover>,
     /// Seconds of owners.
     pub seconds: Vec<OwnerSecond>,
     /// When all hosts were lost.
-    pub losses: Vec<LossTimes>,
+    pub losses: Vec<HostOutage>,
     /// Of each host: the core's time used, and bytes read and sent.
     pub hosts: Vec<(Micros, u64, u64)>,
     /// How many of a hundred requests were served.
@@ -152,7 +152,7 @@
     }
 }
 
-impl PlayReport {
+impl SimulationReport {
     /// How often each rule was broken.
     pub fn broken_by_rule(&self) -> BTreeMap<BrokenRule, usize> {
         let mut counts = BTreeMap::new();
@@ -173,7 +173,7 @@
     }
 }
 
-impl fmt::Display for PlayReport {
+impl fmt::Display for SimulationReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (host, used, read) = self.busiest();
         writeln!(
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -8,7 +8,7 @@
 use super::{EmulatedWorld, Happening, HostLife};
 use crate::deployment::Deployment;
 use crate::host::WorkerOrder;
-use crate::oracle::SoundRoom;
+use crate::oracle::UsableCapacity;
 use crate::queue::{Micros, MS};
 use crate::worker::{address_of, EmulatedWorker, WorkerBirth, WorkerScene};
 
@@ -148,7 +148,7 @@
     }
 
     /// What is free on workers that stay and can be reached.
-    pub(super) fn sound_room(&self, calm_ms: Millis) -> SoundRoom {
+    pub(super) fn sound_room(&self, calm_ms: Millis) -> UsableCapacity {
         let workers = self.places.iter().filter_map(|place| place.worker.as_ref());
         let sound = workers.filter(|worker| worker.draining_since.is_none() && !worker.hangs);
         let (mut used, mut whole) = (0, 0);
@@ -159,7 +159,7 @@
             whole += worker.capacity.cpu_millis;
             free.push(worker.capacity.saturating_minus(&taken));
         }
-        SoundRoom {
+        UsableCapacity {
             under_half: used * 2 < whole,
             calm_ms,
             free,
--- a/crates/emulator/src/world/look.rs
+++ b/crates/emulator/src/world/look.rs
@@ -5,9 +5,9 @@
 
 use super::{EmulatedWorld, LEAD_MS, LOOK_MS};
 use crate::deployment::Deployment;
-use crate::oracle::HostSight;
+use crate::oracle::HostObservation;
 use crate::queue::{Micros, MS};
-use crate::report::{LossTimes, OwnerSecond, PlayReport, TakeoverSeen};
+use crate::report::{HostOutage, OwnerSecond, OwnerTakeover, SimulationReport};
 
 /// How often owners' figures are kept and serving jobs are counted.
 const SECOND_MS: Millis = 1_000;
@@ -25,7 +25,7 @@
     any_until: Micros,
     /// When all hosts were last lost.
     all_lost: Option<Micros>,
-    pub(super) report: PlayReport,
+    pub(super) report: SimulationReport,
     last_used: Vec<Micros>,
     last_carried: Vec<u64>,
 }
@@ -38,9 +38,9 @@
             store_until: 0,
             any_until: 0,
             all_lost: None,
-            report: PlayReport {
+            report: SimulationReport {
                 contact_ms: deployment.bounds.contact_ms,
-                ..PlayReport::default()
+                ..SimulationReport::default()
             },
             last_used: vec![0; count],
             last_carried: vec![0; count],
@@ -52,7 +52,7 @@
         self.any_until = self.any_until.max(now);
         if self.hosts.iter().all(|(lost, _)| *lost) {
             self.all_lost = Some(now);
-            self.report.losses.push(LossTimes {
+            self.report.losses.push(HostOutage {
                 lost_ms: now / MS,
                 back_ms: None,
             });
@@ -105,7 +105,7 @@
 
     /// A host has read what it takes over.
     pub(super) fn owned(&mut self, now: Micros, host: usize, epoch: u64, took_ms: Millis) {
-        self.report.takeovers.push(TakeoverSeen {
+        self.report.takeovers.push(OwnerTakeover {
             epoch,
             host,
             owned_ms: (now / MS) as i64 - LEAD_MS as i64,
@@ -143,14 +143,14 @@
         let store_answers = self.now >= self.store.silent_until;
         if store_answers {
             let room = self.fleet.sound_room(now.saturating_sub(calm_since));
-            self.oracle.look_for_away(now, LOOK_MS, &room);
+            self.oracle.check_away_tasks(now, LOOK_MS, &room);
             // What a cut worker may have at work is started elsewhere only once its lease is over.
             if self.halls_in_touch() {
-                self.oracle.look_for_idle(now, LOOK_MS, &room);
+                self.oracle.check_idle_jobs(now, LOOK_MS, &room);
             }
         }
         let contact_ms = self.deployment.bounds.contact_ms;
-        self.oracle.look_for_stops(now, calm_since + contact_ms);
+        self.oracle.check_late_stops(now, calm_since + contact_ms);
         self.look_at_hosts();
         if now.is_multiple_of(SECOND_MS) {
             self.look_at_owner();
@@ -176,7 +176,7 @@
                 self.watch.hosts[index].1 = self.watch.hosts[index].1.max(until);
             }
             let calm_since = self.watch.calm_since(index);
-            let sight = HostSight {
+            let sight = HostObservation {
                 life: host.life,
                 version: host.config_version(),
                 calm_since: calm_since.filter(|_| host.up).map(|since| since / MS),
@@ -226,14 +226,13 @@
         for times in &self.watch.report.losses {
             if let Some(back) = times.back_ms {
                 let (oracle, lost) = (&mut self.oracle, times.lost_ms);
-                self.host_oracle
-                    .look_for_recovery(until, lost, back, oracle);
+                self.host_oracle.check_recovery(until, lost, back, oracle);
             }
         }
     }
 
     /// What is to be told of the play.
-    pub fn report(&self) -> PlayReport {
+    pub fn report(&self) -> SimulationReport {
         let mut report = self.watch.report.clone();
         report.hosts = self
             .hosts
--- a/crates/emulator/tests/rules.rs
+++ b/crates/emulator/tests/rules.rs
@@ -5,7 +5,7 @@
 use sandshelf_emulator::deployment::{Deployment, WEAK_HOST};
 use sandshelf_emulator::host::{HostFault, HostModel, TransferLimit};
 use sandshelf_emulator::oracle::BrokenRule;
-use sandshelf_emulator::report::PlayReport;
+use sandshelf_emulator::report::SimulationReport;
 use sandshelf_emulator::world::EmulatedWorld;
 
 /// The seed of all plays here.
@@ -13,7 +13,7 @@
 /// How long callers hand jobs in, in milliseconds.
 const TRAFFIC_MS: u64 = 12_000;
 
-fn play(day: DayPlan) -> PlayReport {
+fn play(day: DayPlan) -> SimulationReport {
     let mut world = EmulatedWorld::new(SEED, day);
     world.play();
     world.report()
@@ -85,7 +85,7 @@
 
 /// A play is the same each time.
 fn same_play_each_time() {
-    let told = |report: PlayReport| format!("{report} {:?}", report.broken);
+    let told = |report: SimulationReport| format!("{report} {:?}", report.broken);
     let first = told(play(tenth_of_a_processor()));
     assert_eq!(first, told(play(tenth_of_a_processor())));
 }
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -1,14 +1,16 @@
 //! What the oracle of hosts, and the looks at what is at work, take for broken.
 
-use sandshelf_emulator::oracle::{BrokenRule, HostOracle, HostSight, PlatformOracle, RuleBounds};
+use sandshelf_emulator::oracle::{
+    BrokenRule, HostObservation, HostOracle, PlatformOracle, RuleBounds,
+};
 use sandshelf_jobs::{JobNumber, JobSpec, QueueRules, RunKey, StepSpec, TaskKey};
 use sandshelf_model::{ResourceSize, WorkerId};
 
 /// When the version 7 of the configuration is acknowledged.
 const CONFIGURED_MS: u64 = 10_000;
 
-fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostSight {
-    HostSight {
+fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostObservation {
+    HostObservation {
         life: 1,
         version,
         calm_since,
@@ -16,7 +18,7 @@
 }
 
 /// What is broken by a host that is seen so, one sight after the other.
-fn seen(sights: &[(u64, HostSight)]) -> Vec<BrokenRule> {
+fn seen(sights: &[(u64, HostObservation)]) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
     let mut hosts = HostOracle::new(RuleBounds::GROWN);
     hosts.configured(CONFIGURED_MS, 7);
@@ -26,11 +28,11 @@
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
-fn breaks_config(sights: &[(u64, HostSight)]) {
+fn breaks_config(sights: &[(u64, HostObservation)]) {
     assert_eq!(seen(sights), [BrokenRule::Config]);
 }
 
-fn keeps_config(sights: &[(u64, HostSight)]) {
+fn keeps_config(sights: &[(u64, HostObservation)]) {
     assert_eq!(seen(sights), []);
 }
 
@@ -46,7 +48,7 @@
             hosts.served(request);
         }
     }
-    hosts.look_for_recovery(40_000, 10_000, 11_000, &mut oracle);
+    hosts.check_recovery(40_000, 10_000, 11_000, &mut oracle);
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
@@ -83,7 +85,7 @@
     oracle.accepted(JobNumber(1), &spec);
     oracle.started(500, &WorkerId::from("w-1"), RunKey { task, run: 1 }, true);
     oracle.cancelled(1_000, JobNumber(1));
-    oracle.look_for_stops(now, calm_since);
+    oracle.check_late_stops(now, calm_since);
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
--- a/crates/jobs/tests/emulated.rs
+++ b/crates/jobs/tests/emulated.rs
@@ -10,7 +10,7 @@
 use sandshelf_model::{ResourceSize, WorkerId};
 use support::emulator::PlatformEmulator;
 use support::faults::FaultPlan;
-use support::oracle::{BrokenRule, PlatformOracle, SoundRoom};
+use support::oracle::{BrokenRule, PlatformOracle, UsableCapacity};
 use support::plans::*;
 use support::{job, listing, step, task};
 
@@ -331,9 +331,9 @@
     oracle_away => oracle_sees(BrokenRule::Away, |oracle| {
         let stands = StepSpec { standing: true, ..step(1) };
         oracle.accepted(sandshelf_jobs::JobNumber(2), &job(vec![stands]));
-        let room = SoundRoom { under_half: true, calm_ms: 0, free: vec![listing("w-1").capacity; 2] };
+        let room = UsableCapacity { under_half: true, calm_ms: 0, free: vec![listing("w-1").capacity; 2] };
         for look in 1..100 {
-            oracle.look_for_away(look * 100, 100, &room);
+            oracle.check_away_tasks(look * 100, 100, &room);
         }
     });
     oracle_evacuated => oracle_sees(BrokenRule::Evacuated, |oracle| {
--- a/crates/jobs/tests/support/emulator/mod.rs
+++ b/crates/jobs/tests/support/emulator/mod.rs
@@ -242,7 +242,7 @@
             return;
         }
         let room = self.sound_room();
-        self.oracle.look_for_away(self.now, LOOK_MS, &room);
+        self.oracle.check_away_tasks(self.now, LOOK_MS, &room);
     }
 
     fn strike(&mut self) {
--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -15,7 +15,7 @@
 };
 use crate::support::emulated_worker::{EmulatedRun, EmulatedWorker, ShrinkingRoom, REPORT_MS};
 use crate::support::listing;
-use crate::support::oracle::SoundRoom;
+use crate::support::oracle::UsableCapacity;
 
 /// When the first life of the first worker began, in milliseconds since 1970.
 const FIRST_LIFE_MS: u64 = 1_769_000_000_000;
@@ -137,7 +137,7 @@
     }
 
     /// What is free on workers that stay and can be reached.
-    pub(super) fn sound_room(&self) -> SoundRoom {
+    pub(super) fn sound_room(&self) -> UsableCapacity {
         let capacity = listing("w-1").capacity;
         let cut = self.hall_cut().map(|cut| cut.hall);
         let sound = |worker: &&EmulatedWorker| {
@@ -148,7 +148,7 @@
         let sound: Vec<_> = self.workers.iter().filter(sound).collect();
         let used = sound.iter().map(|worker| worker.used().cpu_millis);
         let half = sound.len() as u64 * capacity.cpu_millis / 2;
-        SoundRoom {
+        UsableCapacity {
             under_half: used.sum::<u64>() < half,
             calm_ms: 0,
             free: sound
