--- a/crates/emulator/src/oracle/hosts.rs
+++ b/crates/emulator/src/oracle/hosts.rs
@@ -1,4 +1,4 @@
-//! Checks what callers and operators see of hosts: configurations in force in time, and requests served again.
+//! Checks two rules of hosts: configurations come into force in time, and requests are served again after an outage.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,29 +6,29 @@
 
 use super::{BrokenRule, PlatformOracle, RuleBounds};
 
-/// Of the requests after a recovery at least one in so many has to be served, where that was so before.
+/// After a recovery at least one in this number of requests has to be served, if that held before the outage.
 const SERVED_ONE_IN: usize = 4;
-/// With fewer requests than this nothing can be said of a share.
-const LEAST_REQUESTS: usize = 8;
+/// With fewer requests than this the share of served requests is not checked.
+const MIN_REQUESTS: usize = 8;
 
-/// What is seen of a host at one moment.
+/// The state of a host at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct HostObservation {
-    /// Which life of its process it is.
+    /// The incarnation of its process.
     pub life: u32,
-    /// The version of the configuration in force; none before the first.
+    /// The version of the configuration in force; `None` before the first.
     pub version: Option<u64>,
-    /// Since when nothing has disturbed it; none while something does.
+    /// Since when there has been no disturbance of the host; `None` during one.
     pub calm_since: Option<Millis>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct HostPast {
+struct HostHistory {
     life: u32,
-    /// The newest version seen in force in this life.
+    /// The newest version that has been in force in this incarnation.
     newest: Option<u64>,
-    /// The newest version of which it was told that it is missing here.
-    told: u64,
+    /// The newest version that has been reported as missing here.
+    reported: u64,
 }
 
 /// One request of a caller.
@@ -38,20 +38,20 @@
     served: bool,
 }
 
-/// What is seen of all hosts.
+/// Checks all hosts, and the requests that callers send to them.
 #[derive(Debug, Default)]
 pub struct HostOracle {
     bounds: RuleBounds,
-    /// Acknowledged versions that may be late somewhere, with when they were acknowledged.
+    /// Acknowledged configuration versions, each with the time of its acknowledgement.
     acknowledged: VecDeque<(Millis, u64)>,
-    hosts: BTreeMap<usize, HostPast>,
+    hosts: BTreeMap<usize, HostHistory>,
     requests: Vec<SeenRequest>,
-    /// The longest that a version took to be in force on a host in touch, in milliseconds.
+    /// The longest time until a version was in force on a host in touch, in milliseconds.
     pub longest_config: Millis,
 }
 
 impl HostOracle {
-    /// An oracle with some bounds.
+    /// An oracle with the given bounds.
     pub fn new(bounds: RuleBounds) -> Self {
         Self {
             bounds,
@@ -59,59 +59,59 @@
         }
     }
 
-    /// The store has acknowledged a version of the configuration.
+    /// Records that the store has acknowledged a version of the configuration.
     pub fn configured(&mut self, now: Millis, version: u64) {
         self.acknowledged.push_back((now, version));
     }
 
-    /// Looks at one host; `stretch` is added to the bound while the store is unstable.
-    pub fn look(
+    /// Checks the configuration of one host; `extra_ms` is added to the bound while the store is unstable.
+    pub fn check_host(
         &mut self,
         now: Millis,
         host: usize,
-        sight: &HostObservation,
-        stretch: Millis,
+        observation: &HostObservation,
+        extra_ms: Millis,
         oracle: &mut PlatformOracle,
     ) {
-        let past = self.hosts.entry(host).or_default();
-        if past.life != sight.life {
-            *past = HostPast {
-                life: sight.life,
-                told: past.told,
-                ..HostPast::default()
+        let history = self.hosts.entry(host).or_default();
+        if history.life != observation.life {
+            *history = HostHistory {
+                life: observation.life,
+                reported: history.reported,
+                ..HostHistory::default()
             };
         }
-        if sight.version < past.newest {
-            let what = format!("host {host} went back to {:?}", sight.version);
+        if observation.version < history.newest {
+            let what = format!("host {host} went back to {:?}", observation.version);
             oracle.report(now, BrokenRule::Config, what);
         }
-        past.newest = sight.version.max(past.newest);
-        let in_touch = sight
+        history.newest = observation.version.max(history.newest);
+        let in_touch = observation
             .calm_since
             .is_some_and(|since| now >= since + self.bounds.contact_ms);
-        let Some(calm_since) = sight.calm_since.filter(|_| in_touch) else {
+        let Some(calm_since) = observation.calm_since.filter(|_| in_touch) else {
             return;
         };
-        let missing = |version: u64| sight.version.is_none_or(|known| known < version);
+        let missing = |version: u64| observation.version.is_none_or(|known| known < version);
         for (at, version) in &self.acknowledged {
-            if !missing(*version) || *version <= past.told {
+            if !missing(*version) || *version <= history.reported {
                 continue;
             }
             let waited = now - at;
-            // Where the host came back after the acknowledgement, it is in touch only now.
+            // A host that came back after the acknowledgement has been in touch for a shorter time than `waited`.
             if calm_since <= *at {
                 self.longest_config = self.longest_config.max(waited);
             }
-            if waited > self.bounds.config_ms + stretch {
-                past.told = past.told.max(*version);
-                let shown = sight.version;
+            if waited > self.bounds.config_ms + extra_ms {
+                history.reported = history.reported.max(*version);
+                let shown = observation.version;
                 let what = format!("host {host} has {shown:?} {waited} ms after {version}");
                 oracle.report(now, BrokenRule::Config, what);
             }
         }
     }
 
-    /// A request was sent; returns its number.
+    /// Records that a request was sent; returns its index.
     pub fn requested(&mut self, now: Millis) -> usize {
         self.requests.push(SeenRequest {
             sent: now,
@@ -120,12 +120,13 @@
         self.requests.len() - 1
     }
 
-    /// A request was served.
+    /// Records that a request was served.
     pub fn served(&mut self, request: usize) {
         self.requests[request].served = true;
     }
 
-    fn share(&self, from: Millis, to: Millis) -> (usize, usize) {
+    /// How many of the requests sent in `from..to` were served, and how many were sent.
+    fn served_and_sent(&self, from: Millis, to: Millis) -> (usize, usize) {
         let sent = self.requests.iter();
         let sent = sent.filter(|request| (from..to).contains(&request.sent));
         sent.fold((0, 0), |(served, sent), request| {
@@ -133,13 +134,15 @@
         })
     }
 
-    /// How many of the requests sent in a time were served, in percent.
+    /// The share of the requests sent in `from..to` that were served, in percent; 0 where none were sent.
     pub fn served_percent(&self, from: Millis, to: Millis) -> usize {
-        let (served, sent) = self.share(from, to);
+        let (served, sent) = self.served_and_sent(from, to);
         served * 100 / sent.max(1)
     }
 
-    /// Looks, at the end, whether enough requests were served after the last time that all hosts were lost and came back.
+    /// Checks, at the end, whether enough requests were served after an outage of all hosts.
+    ///
+    /// The last host went down at `lost`, and the last one was back at `back`.
     pub fn check_recovery(
         &self,
         now: Millis,
@@ -148,9 +151,9 @@
         oracle: &mut PlatformOracle,
     ) {
         let enough = |(served, sent): (usize, usize)| served * SERVED_ONE_IN >= sent;
-        let after = self.share(back + self.bounds.recovery_ms, now);
-        let before = self.share(0, lost);
-        if enough(before) && after.1 >= LEAST_REQUESTS && !enough(after) {
+        let after = self.served_and_sent(back + self.bounds.recovery_ms, now);
+        let before = self.served_and_sent(0, lost);
+        if enough(before) && after.1 >= MIN_REQUESTS && !enough(after) {
             let what = format!("{} of {} requests served", after.0, after.1);
             oracle.report(now, BrokenRule::Recover, what);
         }
--- a/crates/emulator/src/oracle/idle.rs
+++ b/crates/emulator/src/oracle/idle.rs
@@ -1,35 +1,35 @@
-//! Looks for jobs of which nothing is at work though a task's turn has come and there is room for it.
+//! Checks that a job with a task that is ready to run does not stay idle while workers have free capacity for it.
 
 use sandshelf_jobs::{JobNumber, JobSpec, TaskKey};
 use sandshelf_model::{Millis, ResourceSize};
 
 use super::{BrokenRule, PlatformOracle, UsableCapacity};
 
-/// How long that may be.
-const IDLE_MS: Millis = 3_000;
+/// How long a job with a ready task may be without a run while there is free capacity.
+const MAX_IDLE_MS: Millis = 3_000;
 
-/// A job that ends and has not come to its end.
+/// A job with a bounded amount of work that has not finished.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenJob {
-    /// How many of its runs are at work.
+    /// How many of its runs are running.
     live: usize,
     /// How many of its tasks are not done.
-    left: usize,
-    /// For how long nothing of it has been at work while there was room.
+    unfinished: usize,
+    /// How long it has had no run although there was free capacity, in milliseconds.
     idle: Millis,
-    told: bool,
+    reported: bool,
 }
 
 impl OpenJob {
-    /// A job as it is handed in; none where its tasks stand or run at given times.
+    /// A newly submitted job; `None` where it has standing tasks or is repeated.
     pub(super) fn new(spec: &JobSpec) -> Option<Self> {
         let stands = spec.steps.iter().any(|step| step.standing);
-        let left = spec.steps.iter().map(|step| step.count as usize);
+        let unfinished = spec.steps.iter().map(|step| step.count as usize);
         (!stands && spec.repeat.is_none()).then(|| Self {
             live: 0,
-            left: left.sum(),
+            unfinished: unfinished.sum(),
             idle: 0,
-            told: false,
+            reported: false,
         })
     }
 
@@ -38,27 +38,27 @@
         self.idle = 0;
     }
 
-    /// A run is over; whether its task is done by it.
+    /// Counts the end of a run; `done` says whether it completed its task.
     pub(super) fn end(&mut self, done: bool) {
         self.live = self.live.saturating_sub(1);
-        self.left = self.left.saturating_sub(usize::from(done));
+        self.unfinished = self.unfinished.saturating_sub(usize::from(done));
     }
 }
 
 impl PlatformOracle {
-    /// Looks, some milliseconds after the last look, for jobs of which nothing is at work for too long.
+    /// Reports jobs that have been idle for too long, counted while less than half of all processor capacity is in use.
     ///
-    /// That counts while less than half of the room is in use.
-    pub fn check_idle_jobs(&mut self, now: Millis, passed: Millis, room: &UsableCapacity) {
+    /// `elapsed` is the time since the last check in milliseconds.
+    pub fn check_idle_jobs(&mut self, now: Millis, elapsed: Millis, room: &UsableCapacity) {
         let counts = room.under_half;
         let mut late = Vec::new();
         for (number, job) in &mut self.open {
-            if job.live > 0 || job.left == 0 {
+            if job.live > 0 || job.unfinished == 0 {
                 job.idle = 0;
                 continue;
             }
-            job.idle += passed;
-            if job.idle <= passed {
+            job.idle += elapsed;
+            if job.idle <= elapsed {
                 continue;
             }
             let next = next_room(*number, &self.jobs[number], &self.done);
@@ -69,19 +69,19 @@
             if counts {
                 self.longest_idle = self.longest_idle.max(job.idle);
             }
-            if counts && job.idle > IDLE_MS && !job.told {
-                job.told = true;
+            if counts && job.idle > MAX_IDLE_MS && !job.reported {
+                job.reported = true;
                 late.push((*number, job.idle));
             }
         }
         for (number, idle) in late {
-            let what = format!("nothing of {number} is at work for {idle} ms");
+            let what = format!("no task of {number} has run for {idle} ms");
             self.report(now, BrokenRule::Idle, what);
         }
     }
 }
 
-/// What the first task takes up that is not done; all before it are done, since nothing is at work.
+/// The size of the first task that is not done; the steps before its own are done, since no task of the job is running.
 fn next_room(
     number: JobNumber,
     spec: &JobSpec,
--- a/crates/emulator/src/oracle/mod.rs
+++ b/crates/emulator/src/oracle/mod.rs
@@ -1,4 +1,4 @@
-//! Checks what workers and callers saw against what must always hold.
+//! Checks what workers and callers observe against rules that must always hold.
 
 mod away;
 mod crashes;
@@ -17,31 +17,35 @@
 pub use hosts::{HostObservation, HostOracle};
 use idle::OpenJob;
 
-/// The times within which things have to happen, in milliseconds.
+/// The time limits of the rules, in milliseconds.
+///
+/// A host is *in touch* once it has been free of disturbances for `contact_ms`. Rules with a time limit apply to
+/// owners and hosts that are in touch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuleBounds {
-    /// How long after its cancellation a job's tasks may still be started.
+    /// How long after a job's cancellation its tasks may still be started.
     pub cancel_ms: Millis,
-    /// How much longer they may still be at work.
+    /// How much longer than `cancel_ms` they may still run.
     pub stop_ms: Millis,
-    /// How long a standing task may be away from work where there is room for it.
+    /// How long a standing task may be without a run while there is free capacity for it.
     pub away_ms: Millis,
-    /// For how long of that all has to be undisturbed where half of the room or more is in use.
+    /// How long there must have been no disturbance before that counts, where at least half of all processor capacity is
+    /// in use.
     pub calm_ms: Millis,
-    /// How long after its acknowledgement a configuration has to be in force.
+    /// The longest time from the acknowledgement of a configuration until it is in force on every host in touch.
     pub config_ms: Millis,
-    /// A host is in touch when nothing has disturbed it for so long.
+    /// How long a host must have been without a disturbance to be in touch.
     pub contact_ms: Millis,
-    /// After how long a worker that says that it leaves must get nothing new.
+    /// How long after the start of a worker's draining it may still be given new runs.
     pub drain_ms: Millis,
-    /// After how long the workers of an evacuated hall must.
+    /// How long after a hall's evacuation its workers may still be given new runs.
     pub evacuate_ms: Millis,
-    /// How long after all hosts are back requests have to be served.
+    /// How long after the return of all hosts requests may still go unserved.
     pub recovery_ms: Millis,
 }
 
 impl RuleBounds {
-    /// Those of the small deployments.
+    /// The limits for small deployments.
     pub const SMALL: Self = Self {
         cancel_ms: 3_000,
         stop_ms: 900,
@@ -54,7 +58,7 @@
         recovery_ms: 12_000,
     };
 
-    /// Those of the grown deployments.
+    /// The limits for the large deployments.
     pub const GROWN: Self = Self {
         cancel_ms: 4_000,
         config_ms: 3_000,
@@ -71,40 +75,40 @@
     }
 }
 
-/// What must never happen.
+/// A rule that was broken, named by what must not happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BrokenRule {
-    /// Two runs of a task at once, or a start after an end as done was acknowledged.
+    /// Two concurrent runs of a task, or a start after a successful end was acknowledged.
     Twice,
-    /// A start before the steps before it were done.
+    /// A start of a task before the steps that it depends on were done.
     Order,
-    /// A worker given more than it has.
+    /// A worker given tasks beyond its capacity.
     Limit,
-    /// A start after as many failed runs as are allowed.
+    /// A start of a task that has used up its attempts.
     Budget,
-    /// A start of what nobody handed in, or of a job long cancelled.
+    /// A start of a task of an unknown job, or of a job cancelled more than `cancel_ms` ago.
     Unasked,
-    /// A start on a worker that has long said that it leaves.
+    /// A start on a worker that has been draining for more than `drain_ms`.
     Drain,
-    /// A start on a worker whose hall has long been evacuated.
+    /// A start on a worker whose hall was evacuated more than `evacuate_ms` ago.
     Evacuated,
-    /// A job shown as completed with a task that is not done.
+    /// A job shown as completed although one of its tasks is not done.
     Mixed,
-    /// A job that does not end though nothing is in its way.
+    /// A job that does not finish although nothing prevents it, or that is given up without cause.
     Lost,
-    /// A standing task that is not at work for too long though there is room for it.
+    /// A standing task that does not run for too long although there is free capacity for it.
     Away,
-    /// A job of which nothing is at work for too long though a task's turn has come and there is room for it.
+    /// A job without a run for too long although one of its tasks is ready and there is free capacity for it.
     Idle,
-    /// A task of a cancelled job that is at work for too long after that.
+    /// A task of a cancelled job that runs for too long after the cancellation.
     Stop,
-    /// A host that has not put a configuration in force in time, or has gone back to an older one.
+    /// A host that did not put a configuration in force in time, or went back to an older one.
     Config,
-    /// Less than a quarter of the requests served some time after all hosts are back.
+    /// Less than a quarter of the requests served later than `recovery_ms` after all hosts were back.
     Recover,
 }
 
-/// A job's standing tasks, each with what it takes of a worker's room.
+/// A job's standing tasks, each with the capacity that it takes.
 fn standing_tasks(number: JobNumber, spec: &JobSpec) -> Vec<(TaskKey, ResourceSize)> {
     let steps = spec.steps.iter().enumerate();
     let steps = steps.filter(|(_, step)| step.standing);
@@ -120,47 +124,49 @@
     tasks.collect()
 }
 
-/// All that was seen.
+/// Records what workers and callers observe, and which rules were broken.
 #[derive(Debug, Default)]
 pub struct PlatformOracle {
-    /// The bounds that hold.
+    /// The time limits that apply.
     pub bounds: RuleBounds,
     jobs: BTreeMap<JobNumber, Arc<JobSpec>>,
-    /// The standing tasks of jobs that nobody has cancelled.
+    /// The standing tasks of jobs that have not been cancelled.
     standing: BTreeMap<JobNumber, Vec<(TaskKey, ResourceSize)>>,
+    /// When the cancellation of each cancelled job was acknowledged.
     cancelled: BTreeMap<JobNumber, Millis>,
-    /// Jobs that end and have not come to their end.
+    /// Unfinished jobs with a bounded amount of work.
     open: BTreeMap<JobNumber, OpenJob>,
-    /// The longest that nothing of one was at work where that counts, in milliseconds.
+    /// The longest counted time that one of them was idle, in milliseconds.
     pub longest_idle: Millis,
-    at_work: BTreeMap<TaskKey, BTreeSet<(WorkerId, u64)>>,
+    /// The runs of each task that are running, each with its worker.
+    running: BTreeMap<TaskKey, BTreeSet<(WorkerId, u64)>>,
     done: BTreeSet<TaskKey>,
     acknowledged: BTreeSet<TaskKey>,
     failed: BTreeMap<TaskKey, BTreeSet<u64>>,
-    /// How many runs of each task have ended as failed, acknowledged or not.
+    /// How many runs of each task have failed, whether or not the failure was acknowledged.
     failures: BTreeMap<TaskKey, usize>,
     crashes: CrashCounts,
     history: BTreeMap<TaskKey, Vec<String>>,
-    /// For how long standing tasks have been away, those that are.
+    /// The standing tasks that are not running, each with how long that has lasted.
     away: BTreeMap<TaskKey, AwayTimes>,
-    /// Tasks that were away for too long, each told once.
-    told_away: BTreeSet<TaskKey>,
-    /// The longest that any was, in milliseconds.
+    /// Standing tasks that were without a run for too long; each is reported once.
+    reported_away: BTreeSet<TaskKey>,
+    /// The longest counted time that a standing task did not run, in milliseconds.
     pub longest_away: Millis,
-    /// Cancelled jobs with tasks that were at work for too long, each told once.
-    told_stops: BTreeSet<JobNumber>,
-    /// The longest that a task of a cancelled job was at work in calm, in milliseconds.
+    /// Cancelled jobs with tasks that ran for too long; each is reported once.
+    reported_stops: BTreeSet<JobNumber>,
+    /// The longest time without disturbances that a task of a cancelled job ran, in milliseconds.
     pub longest_stop: Millis,
-    /// What was broken: when, which rule, and how.
+    /// The broken rules: time in milliseconds, rule, and description.
     pub broken: Vec<(Millis, BrokenRule, String)>,
-    /// How many runs began.
+    /// How many runs have started.
     pub starts: usize,
-    /// How many ended.
+    /// How many runs have ended.
     pub ends: usize,
 }
 
 impl PlatformOracle {
-    /// An oracle with other bounds than those of the small deployments.
+    /// An oracle with the given time limits; `Default` uses those for small deployments.
     pub fn with_bounds(bounds: RuleBounds) -> Self {
         Self {
             bounds,
@@ -168,7 +174,7 @@
         }
     }
 
-    /// A job was handed in.
+    /// Records that a job was accepted.
     pub fn accepted(&mut self, number: JobNumber, spec: &JobSpec) {
         if !self.cancelled.contains_key(&number) {
             let standing = standing_tasks(number, spec);
@@ -183,7 +189,7 @@
         self.jobs.insert(number, Arc::new(spec.clone()));
     }
 
-    /// A job's cancellation was acknowledged.
+    /// Records that a job's cancellation was acknowledged.
     pub fn cancelled(&mut self, now: Millis, number: JobNumber) {
         self.cancelled.insert(number, now);
         self.standing.remove(&number);
@@ -191,12 +197,13 @@
         self.away.retain(|task, _| task.job != number);
     }
 
-    /// A rule was broken.
+    /// Records a broken rule.
     pub fn report(&mut self, now: Millis, rule: BrokenRule, what: impl Into<String>) {
         self.broken.push((now, rule, what.into()));
     }
 
-    /// A worker begins a run; `in_touch` where nothing has disturbed the owner or the store for some time.
+    /// Records that a worker starts a run; `in_touch` says whether the owner and the store have been free of disturbances
+    /// for long enough for rules with a time limit.
     pub fn started(&mut self, now: Millis, worker: &WorkerId, key: RunKey, in_touch: bool) {
         self.starts += 1;
         let task = key.task;
@@ -208,11 +215,15 @@
             self.report(
                 now,
                 BrokenRule::Unasked,
-                format!("{key} after its cancelling"),
+                format!("{key} after its cancellation"),
             );
         }
-        if !self.at_work.entry(task).or_default().is_empty() {
-            self.report(now, BrokenRule::Twice, format!("{key} beside another run"));
+        if !self.running.entry(task).or_default().is_empty() {
+            self.report(
+                now,
+                BrokenRule::Twice,
+                format!("{key} concurrent with another run"),
+            );
         }
         if self.acknowledged.contains(&task) {
             let history = self.history.get(&task);
@@ -220,7 +231,7 @@
             self.report(now, BrokenRule::Twice, what);
         }
         if self.crashes.begin(&task, in_touch) {
-            let what = format!("{key} after three workers had crashed under it");
+            let what = format!("{key} after three worker crashes while it ran");
             self.report(now, BrokenRule::Budget, what);
         }
         let failed = self.failed.get(&task).map_or(0, BTreeSet::len);
@@ -245,18 +256,18 @@
         if let Some(open) = self.open.get_mut(&task.job) {
             open.begin();
         }
-        let at_work = self.at_work.entry(task).or_default();
-        at_work.insert((worker.clone(), key.run));
+        let running = self.running.entry(task).or_default();
+        running.insert((worker.clone(), key.run));
         let seen = self.history.entry(task).or_default();
-        seen.push(format!("{now}: {} began on {worker}", key.run));
+        seen.push(format!("{now}: {} started on {worker}", key.run));
     }
 
-    /// A worker that has long said that it leaves begins a run.
+    /// Reports that a worker starts a run although it has been draining for more than `drain_ms`.
     pub fn started_late(&mut self, now: Millis, worker: &WorkerId, key: RunKey) {
         self.report(now, BrokenRule::Drain, format!("{key} on {worker}"));
     }
 
-    /// A worker began a run in a hall that had been evacuated since a time, by order of a host in touch.
+    /// Records that a worker starts a run, ordered by a host in touch, in a hall evacuated at `since`.
     pub fn started_in_evacuated(&mut self, now: Millis, since: Millis, key: RunKey) {
         if now > since + self.bounds.evacuate_ms {
             let what = format!("{key} in a hall evacuated since {since}");
@@ -264,20 +275,20 @@
         }
     }
 
-    /// Whether a job was handed in.
+    /// Whether a job was accepted.
     pub fn knows(&self, number: JobNumber) -> bool {
         self.jobs.contains_key(&number)
     }
 
-    /// How many of a job's standing tasks are at work, and how many there are.
-    pub fn standing_at_work(&self, number: JobNumber) -> (usize, usize) {
+    /// How many of a job's standing tasks are running, and how many there are.
+    pub fn standing_running(&self, number: JobNumber) -> (usize, usize) {
         let tasks = self.standing.get(&number).map_or(&[][..], Vec::as_slice);
-        let works = |task| self.at_work.get(task).is_some_and(|runs| !runs.is_empty());
-        let at_work = tasks.iter().filter(|(task, _)| works(task));
-        (at_work.count(), tasks.len())
+        let runs_now = |task| self.running.get(task).is_some_and(|runs| !runs.is_empty());
+        let running = tasks.iter().filter(|(task, _)| runs_now(task));
+        (running.count(), tasks.len())
     }
 
-    /// A run is no longer at work, however it ended.
+    /// Records that a run is over; `outcome` is `None` where it was lost with its worker.
     pub fn ended(&mut self, worker: &WorkerId, key: RunKey, outcome: Option<RunOutcome>) {
         self.ends += 1;
         let seen = self.history.entry(key.task).or_default();
@@ -285,22 +296,22 @@
         if outcome == Some(RunOutcome::Failed) {
             *self.failures.entry(key.task).or_default() += 1;
         }
-        let at_work = self.at_work.entry(key.task).or_default();
-        at_work.remove(&(worker.clone(), key.run));
+        let running = self.running.entry(key.task).or_default();
+        running.remove(&(worker.clone(), key.run));
         let done = outcome == Some(RunOutcome::Done) && self.done.insert(key.task);
         if let Some(open) = self.open.get_mut(&key.task.job) {
             open.end(done);
         }
     }
 
-    /// A worker crashed under a task.
+    /// Records that a worker crashed while it ran a task.
     pub fn crashed(&mut self, worker: &WorkerId, key: RunKey) {
         let seen = self.history.entry(key.task).or_default();
-        seen.push(format!("{worker} crashed under {}", key.run));
+        seen.push(format!("{worker} crashed while it ran {}", key.run));
         self.crashes.crash(key.task);
     }
 
-    /// Whether some task of a job has failed as often as is allowed, or may be given up since workers crashed under it.
+    /// Whether a task of a job has used up its attempts, or may be given up because of worker crashes.
     fn may_have_failed(&self, number: JobNumber, spec: &JobSpec) -> bool {
         let most = spec.rules.max_attempts as usize;
         let spent = |task: &TaskKey, failed: &usize| task.job == number && *failed >= most;
@@ -311,12 +322,13 @@
         failed || self.crashes.may_give_up(number)
     }
 
-    /// How many jobs were given up for crashes, and how many starts of tasks that crash their workers there were at most.
-    pub fn crash_figures(&self) -> (usize, usize) {
-        self.crashes.figures()
+    /// How many tasks may be given up because of worker crashes, and the highest number of starts of a task that crashed
+    /// workers.
+    pub fn crash_stats(&self) -> (usize, usize) {
+        self.crashes.stats()
     }
 
-    /// An end was acknowledged.
+    /// Records that the end of a run was acknowledged.
     pub fn acknowledged(&mut self, key: RunKey, outcome: RunOutcome) {
         let seen = self.history.entry(key.task).or_default();
         seen.push(format!("{} acknowledged as {outcome:?}", key.run));
@@ -331,13 +343,13 @@
         }
     }
 
-    /// A job is shown in a state.
+    /// Checks the state in which a job is shown to callers.
     pub fn shown(&mut self, now: Millis, number: JobNumber, stage: JobStage) {
         let Some(spec) = self.jobs.get(&number).cloned() else {
             return self.report(
                 now,
                 BrokenRule::Mixed,
-                format!("{number} was never handed in"),
+                format!("{number} was never accepted"),
             );
         };
         if stage.is_final() {
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -219,7 +219,7 @@
                 continue;
             }
             let request = self.host_oracle.requested(self.now / MS);
-            let (at_work, all) = self.oracle.standing_at_work(job.number);
+            let (at_work, all) = self.oracle.standing_running(job.number);
             if at_work * 2 >= all {
                 self.host_oracle.served(request);
             }
--- a/crates/emulator/src/world/look.rs
+++ b/crates/emulator/src/world/look.rs
@@ -183,7 +183,7 @@
             };
             let now = self.now / MS;
             self.host_oracle
-                .look(now, index, &sight, 0, &mut self.oracle);
+                .check_host(now, index, &sight, 0, &mut self.oracle);
         }
     }
 
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -23,7 +23,7 @@
     let mut hosts = HostOracle::new(RuleBounds::GROWN);
     hosts.configured(CONFIGURED_MS, 7);
     for (at, sight) in sights {
-        hosts.look(*at, 0, sight, 0, &mut oracle);
+        hosts.check_host(*at, 0, sight, 0, &mut oracle);
     }
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
