--- a/crates/emulator/src/oracle/hosts.rs
+++ b/crates/emulator/src/oracle/hosts.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HostObservation {
     /// The incarnation of its process.
-    pub life: u32,
+    pub incarnation: u32,
     /// The version of the configuration in force; `None` before the first.
     pub version: Option<u64>,
     /// Since when there has been no disturbance of the host; `None` during one.
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct HostHistory {
-    life: u32,
+    incarnation: u32,
     /// The newest version that has been in force in this incarnation.
     newest: Option<u64>,
     /// The newest version that has been reported as missing here.
@@ -74,9 +74,9 @@
         oracle: &mut PlatformOracle,
     ) {
         let history = self.hosts.entry(host).or_default();
-        if history.life != observation.life {
+        if history.incarnation != observation.incarnation {
             *history = HostHistory {
-                life: observation.life,
+                incarnation: observation.incarnation,
                 reported: history.reported,
                 ..HostHistory::default()
             };
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -1,10 +1,10 @@
-//! Callers: they hand jobs in, cancel some, and ask what became of them.
+//! Callers: they submit jobs, cancel some, and ask for their state.
 
 use rand::RngExt;
 use sandshelf_jobs::{JobNumber, JobStage};
 use sandshelf_model::Millis;
 
-use super::{EmulatedWorld, Happening};
+use super::{EmulatedWorld, WorldEvent};
 use crate::book::mix;
 use crate::deployment::TaskKind;
 use crate::host::{RequestBody, WorkItem};
@@ -12,56 +12,58 @@
 use crate::sizes;
 use crate::store::{StoreAsk, StoreReply};
 
-/// How often a caller tries.
-const TRIES: u32 = 5;
-/// How long it goes on trying.
-const BUDGET: Micros = 3_000 * MS;
-/// How long it waits for an answer before it asks another host.
-const TRY_PATIENCE: Micros = 1_300 * MS;
-/// The pause after a refusal.
-const RETRY_PAUSE: Micros = 250 * MS;
-/// How often a job's state is asked for, and when, after it was taken in.
-const LOOKS: u32 = 3;
-const LOOK_AFTER_MS: std::ops::Range<Millis> = 400..6_000;
-/// When a job is cancelled that is to be, after it was taken in.
+/// How many times a caller sends a request at most.
+const MAX_TRIES: u32 = 5;
+/// How long after the first try a caller still retries.
+const RETRY_BUDGET_US: Micros = 3_000 * MS;
+/// How long a caller waits for an answer before it asks another host.
+const TRY_TIMEOUT_US: Micros = 1_300 * MS;
+/// The pause before a retry where a host refused the request or no host was ready.
+const RETRY_PAUSE_US: Micros = 250 * MS;
+/// How many times a caller asks for the state of a job.
+const STATE_QUERIES: u32 = 3;
+/// When it asks, in milliseconds after the job was accepted.
+const STATE_QUERY_AFTER_MS: std::ops::Range<Millis> = 400..6_000;
+/// When a caller cancels a job that it has chosen to cancel, in milliseconds after the job was accepted.
 const CANCEL_AFTER_MS: std::ops::Range<Millis> = 500..3_000;
-/// How long a serving job stays.
-const STAY_MS: std::ops::Range<Millis> = 25_000..140_000;
+/// When the caller of a serving job cancels it, in milliseconds after the job was accepted.
+const SERVING_CANCEL_AFTER_MS: std::ops::Range<Millis> = 25_000..140_000;
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
 struct CallerRequest {
     body: RequestBody,
+    /// When it was first sent.
     sent: Micros,
     tries: u32,
     answered: bool,
 }
 
-/// A job that a caller has handed in.
+/// A job that a caller has submitted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HandedJob {
+pub(super) struct SubmittedJob {
     pub(super) number: JobNumber,
     class: usize,
-    /// Its number among the requests that have to be served.
+    /// Its index among the requests that the host oracle expects to be served.
     request: usize,
     accepted: bool,
     cancelled: bool,
 }
 
-/// All callers.
+/// The requests and jobs of all callers.
 #[derive(Debug, Default)]
-pub(super) struct CallerDesk {
+pub(super) struct CallerState {
     requests: Vec<CallerRequest>,
-    pub(super) jobs: Vec<HandedJob>,
+    pub(super) jobs: Vec<SubmittedJob>,
 }
 
 impl EmulatedWorld {
-    /// Hands the next job of a class in, and plans the one after it.
+    /// Submits the next job of a class, and schedules the one after it at an exponentially distributed interval.
     pub(super) fn next_job(&mut self, class: usize) {
         if self.now >= self.traffic_until {
             return;
         }
-        self.hand_in(class);
+        self.submit_job(class);
         let mut per_s = self.deployment.classes[class].per_s;
         let (burst, percent, until) = self.burst;
         if burst == class && self.now < until {
@@ -70,24 +72,24 @@
         let drawn: f64 = self.random.random();
         let pause = -(1.0 - drawn).ln() / per_s * 1e6;
         self.queue
-            .push(self.now + pause as Micros, Happening::NextJob(class));
+            .push(self.now + pause as Micros, WorldEvent::NextJob(class));
     }
 
-    /// Hands a job of a class in.
-    pub(super) fn hand_in(&mut self, class: usize) {
+    /// Draws a job of a class and submits it.
+    pub(super) fn submit_job(&mut self, class: usize) {
         let wall_ms = crate::host::WALL_START_MS + self.now / MS;
         let job = self.deployment.classes[class].draw(wall_ms, &mut self.random);
         let number = JobNumber(mix(0x7061, self.callers.jobs.len() as u64));
         let spec = job.spec.clone();
         self.book.add(number, job);
-        let handed = HandedJob {
+        let submitted = SubmittedJob {
             number,
             class,
             request: self.host_oracle.requested(self.now / MS),
             accepted: false,
             cancelled: false,
         };
-        self.callers.jobs.push(handed);
+        self.callers.jobs.push(submitted);
         let request = self.callers.requests.len();
         self.begin_request(RequestBody::Submit(request, number, spec), self.now);
     }
@@ -99,11 +101,11 @@
             tries: 0,
             answered: false,
         });
-        self.queue.push(at, Happening::Ask(body, 1));
+        self.queue.push(at, WorldEvent::SendRequest(body, 1));
     }
 
-    /// A caller asks one of the hosts that take connections.
-    pub(super) fn ask_host(&mut self, body: RequestBody, tries: u32) {
+    /// Sends a request to a random one of the hosts that accept connections.
+    pub(super) fn send_to_host(&mut self, body: RequestBody, tries: u32) {
         let request = request_of(&body);
         self.callers.requests[request].tries = tries;
         let ready: Vec<usize> = (0..self.hosts.len())
@@ -111,7 +113,7 @@
             .collect();
         if ready.is_empty() {
             self.queue
-                .push(self.now + RETRY_PAUSE, Happening::AskAgain(request));
+                .push(self.now + RETRY_PAUSE_US, WorldEvent::RetryRequest(request));
             return;
         }
         let host = ready[self.random.random_range(0..ready.len())];
@@ -119,41 +121,42 @@
             RequestBody::Submit(_, _, spec) => sizes::submission(spec),
             _ => sizes::STORE_CALL * 2,
         };
-        let life = self.life_of(host);
-        self.send_request(life, WorkItem::Request(body), bytes);
+        let incarnation = self.incarnation_of(host);
+        self.send_request(incarnation, WorkItem::Request(body), bytes);
         self.queue
-            .push(self.now + TRY_PATIENCE, Happening::AskAgain(request));
+            .push(self.now + TRY_TIMEOUT_US, WorldEvent::RetryRequest(request));
     }
 
-    /// A caller without an answer asks another host, unless it has given up.
-    pub(super) fn ask_again(&mut self, request: usize) {
+    /// Retries a request that has no answer, unless its tries or its retry budget are used up.
+    pub(super) fn retry_request(&mut self, request: usize) {
         let known = &self.callers.requests[request];
-        if known.answered || known.tries >= TRIES || self.now > known.sent + BUDGET {
+        if known.answered || known.tries >= MAX_TRIES || self.now > known.sent + RETRY_BUDGET_US {
             return;
         }
         let (body, tries) = (known.body.clone(), known.tries + 1);
-        self.queue.push(self.now, Happening::Ask(body, tries));
+        self.queue
+            .push(self.now, WorldEvent::SendRequest(body, tries));
     }
 
-    /// A host has answered a request, well or with a refusal.
-    pub(super) fn responded(&mut self, request: usize, served: bool) {
+    /// Handles a host's answer to a request; `served` is false where the host refused it.
+    pub(super) fn handle_response(&mut self, request: usize, served: bool) {
         let known = &mut self.callers.requests[request];
         if known.answered {
             return;
         }
         if !served {
             self.queue
-                .push(self.now + RETRY_PAUSE, Happening::AskAgain(request));
+                .push(self.now + RETRY_PAUSE_US, WorldEvent::RetryRequest(request));
             return;
         }
         known.answered = true;
         if let RequestBody::Submit(_, number, _) = known.body {
-            self.accepted(number);
+            self.handle_accepted(number);
         }
     }
 
-    /// A job was taken in: its caller asks for its state from time to time, and may cancel it.
-    fn accepted(&mut self, number: JobNumber) {
+    /// Schedules the state queries of an accepted job, and its cancellation where there is to be one.
+    fn handle_accepted(&mut self, number: JobNumber) {
         let Some(job) = self
             .callers
             .jobs
@@ -166,7 +169,7 @@
         job.accepted = true;
         let class = &self.deployment.classes[job.class];
         let cancels = match class.kind {
-            TaskKind::Serving(_) => Some(STAY_MS),
+            TaskKind::Serving(_) => Some(SERVING_CANCEL_AFTER_MS),
             _ if self.random.random_range(0..100) < class.cancelled_percent => {
                 Some(CANCEL_AFTER_MS)
             }
@@ -177,14 +180,14 @@
             let request = self.callers.requests.len();
             self.begin_request(RequestBody::Cancel(request, number), at);
         }
-        for _ in 0..LOOKS {
-            let at = self.now + self.random.random_range(LOOK_AFTER_MS) * MS;
+        for _ in 0..STATE_QUERIES {
+            let at = self.now + self.random.random_range(STATE_QUERY_AFTER_MS) * MS;
             let request = self.callers.requests.len();
             self.begin_request(RequestBody::Show(request, number), at);
         }
     }
 
-    /// The store has done what it was asked for.
+    /// Reports what the store has written to the oracle.
     pub(super) fn note_stored(&mut self, ask: &StoreAsk, reply: &StoreReply) {
         let now = self.now / MS;
         match (ask, reply) {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Counts each job that serves as a request: served where at least half of its tasks are at work.
+    /// Counts each accepted serving job as a request; it is served where at least half of its tasks are running.
     pub(super) fn count_serving(&mut self) {
         for index in 0..self.callers.jobs.len() {
             let job = self.callers.jobs[index];
@@ -219,14 +222,14 @@
                 continue;
             }
             let request = self.host_oracle.requested(self.now / MS);
-            let (at_work, all) = self.oracle.standing_running(job.number);
-            if at_work * 2 >= all {
+            let (running, all) = self.oracle.standing_running(job.number);
+            if running * 2 >= all {
                 self.host_oracle.served(request);
             }
         }
     }
 
-    /// At the end, a job counts as served that has come to its end, or that serves or was cancelled.
+    /// Counts, at the end, the submissions of jobs that were completed, failed or cancelled, or that serve, as served.
     pub(super) fn count_served(&mut self) {
         for job in &self.callers.jobs {
             let progress = self.store.progress.get(&job.number);
--- a/crates/emulator/src/world/cuts.rs
+++ b/crates/emulator/src/world/cuts.rs
@@ -1,16 +1,16 @@
-//! Halls that are cut off from all others and from the store, one way or both.
+//! Network partitions: halls that are cut off from all other halls and from the store, in one direction or both.
 //!
-//! Hosts and workers stand in halls; the store, as callers, in none of them. What a cut stops is lost: whoever sent it waits until its patience is
-//! over. Callers reach every host.
+//! Each host and each worker is in a hall; the store and the callers are in none. A message that a cut stops is lost,
+//! and its sender waits until its timeout. Callers reach every host.
 
 use crate::day::CutWay;
 use crate::host::CallPeer;
 use crate::queue::Micros;
 
-/// How many halls there are.
+/// The number of halls.
 pub const HALLS: usize = 4;
 
-/// A hall that is cut off.
+/// A cut of one hall from everything outside.
 #[derive(Clone, Copy, Debug)]
 struct HallCut {
     hall: usize,
@@ -18,7 +18,7 @@
     until: Micros,
 }
 
-/// All cuts, and who stands where.
+/// The halls of hosts and workers, and all cuts.
 #[derive(Debug)]
 pub(super) struct HallMap {
     workers: usize,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Each hall has some strong hosts, which come first in the deployment.
+    /// The hall of a host. Strong hosts come first in the deployment, so that each hall gets some of them.
     pub(super) fn hall_of_host(&self, host: usize) -> usize {
         host % HALLS
     }
 
-    /// The hall of a peer; the store is in none.
+    /// The hall of a peer; `None` for the store.
     fn hall_of_peer(&self, peer: CallPeer) -> Option<usize> {
         match peer {
             CallPeer::Store => None,
@@ -55,19 +55,19 @@
         !cuts.any(|cut| cut.way.stops(cut.hall, from, to))
     }
 
-    /// Until when a hall is cut off, as far as cuts have begun.
+    /// The latest end of all cuts that have begun; `None` before the first.
     pub(super) fn cut_until(&self) -> Option<Micros> {
         self.cuts.iter().map(|cut| cut.until).max()
     }
 
-    /// Whether what a host sends to a peer arrives.
+    /// Whether messages of a host to a peer arrive.
     pub(super) fn reaches(&self, now: Micros, host: usize, peer: CallPeer) -> bool {
         let from = Some(self.hall_of_host(host));
         self.passes(now, from, self.hall_of_peer(peer))
     }
 
-    /// Whether what a peer sends to a host arrives.
-    pub(super) fn comes_back(&self, now: Micros, host: usize, peer: CallPeer) -> bool {
+    /// Whether messages of a peer to a host arrive.
+    pub(super) fn reaches_back(&self, now: Micros, host: usize, peer: CallPeer) -> bool {
         let to = Some(self.hall_of_host(host));
         self.passes(now, self.hall_of_peer(peer), to)
     }
--- a/crates/emulator/src/world/strike.rs
+++ b/crates/emulator/src/world/day_events.rs
@@ -1,16 +1,16 @@
-//! What goes wrong on a day, or is planned.
+//! Applies a day's planned events: faults, configuration changes and bursts of traffic.
 
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use sandshelf_model::Millis;
 
-use super::{EmulatedWorld, Happening};
+use super::{EmulatedWorld, WorldEvent};
 use crate::day::{CutWay, DayEvent, HallChoice, HostChoice};
 use crate::deployment::STRONG_HOST;
 use crate::queue::{Micros, MS};
 
 impl EmulatedWorld {
-    pub(super) fn strike(&mut self, event: DayEvent) {
+    pub(super) fn apply_day_event(&mut self, event: DayEvent) {
         let until = |ms: Millis| self.now + ms * MS;
         match event {
             DayEvent::Kill(choice, down_ms) | DayEvent::PowerOff(choice, down_ms) => {
@@ -21,64 +21,64 @@
                 let until = until(for_ms);
                 for host in self.chosen(choice) {
                     self.hosts[host].processor.stand_still(until);
-                    self.watch.disturb_host(host, until);
+                    self.monitor.disturb_host(host, until);
                 }
             }
             DayEvent::SlowHosts(choice, times, for_ms) => {
                 let until = until(for_ms);
                 for host in self.chosen(choice) {
                     self.hosts[host].processor.slow_down(times, until);
-                    self.watch.disturb_host(host, until);
+                    self.monitor.disturb_host(host, until);
                 }
             }
             DayEvent::SilentConnections(choice) => {
                 for host in self.chosen(choice) {
-                    self.silence(host);
+                    self.silence_host(host);
                 }
             }
             DayEvent::CutHall(choice, way, for_ms) => self.cut_hall(choice, way, for_ms),
             DayEvent::StoreSilent(for_ms) => {
                 self.store.silent_until = until(for_ms);
-                self.watch.disturb_store(until(for_ms));
+                self.monitor.disturb_store(until(for_ms));
             }
             DayEvent::StoreSlow(times, for_ms) => {
                 self.store.slow = (until(for_ms), times);
-                self.watch.disturb_store(until(for_ms));
+                self.monitor.disturb_store(until(for_ms));
             }
             DayEvent::Configure(more) => {
                 let routes = self.store.config().routes + more;
                 let version = self.store.configure(routes);
                 self.host_oracle.configured(self.now / MS, version);
-                self.tell_feeds();
+                self.answer_feeds();
             }
             DayEvent::Burst(class, percent, for_ms) => {
                 self.burst = (class, percent, until(for_ms));
             }
             DayEvent::LateOrders(of_thousand, for_ms) => {
                 self.late_orders = (until(for_ms), of_thousand);
-                self.watch.disturb_workers(until(for_ms));
+                self.monitor.disturb_workers(until(for_ms));
             }
             DayEvent::FailingImages(count, for_ms) => {
                 self.book.failing_images = (0..count).collect();
-                self.queue.push(until(for_ms), Happening::ImagesWell);
+                self.queue.push(until(for_ms), WorldEvent::ImagesRecover);
             }
             DayEvent::RacksDie(racks, down_ms) => self.kill_racks(racks, down_ms),
             DayEvent::WorkersRestart(percent, down_ms) => self.restart_workers(percent, down_ms),
             DayEvent::ScaleIn(count) => {
-                for place in self.drawn_workers(count) {
+                for place in self.draw_workers(count) {
                     self.drain_worker(place);
                 }
             }
             DayEvent::WorkersHang(count, for_ms) => {
-                self.watch.disturb_workers(until(for_ms));
-                for place in self.drawn_workers(count) {
+                self.monitor.disturb_workers(until(for_ms));
+                for place in self.draw_workers(count) {
                     self.hang_worker(place, for_ms);
                 }
             }
         }
     }
 
-    /// The hosts that are struck, of those that run.
+    /// The running hosts that a choice selects, in order.
     fn chosen(&mut self, choice: HostChoice) -> Vec<usize> {
         let mut running: Vec<usize> = (0..self.hosts.len())
             .filter(|host| self.hosts[*host].up)
@@ -117,10 +117,10 @@
             return;
         };
         self.halls.cut(hall, way, until);
-        self.watch.disturb_workers(until);
+        self.monitor.disturb_workers(until);
         for host in 0..self.hosts.len() {
             if self.halls.hall_of_host(host) == hall {
-                self.watch.disturb_host(host, until);
+                self.monitor.disturb_host(host, until);
             }
         }
     }
@@ -128,29 +128,29 @@
     fn kill_hosts(&mut self, choice: HostChoice, down_ms: Millis) {
         for host in self.chosen(choice) {
             self.hosts[host].kill();
-            self.watch.host_lost(self.now, host);
+            self.monitor.host_lost(self.now, host);
             let at: Micros = self.now + down_ms * MS;
-            self.queue.push(at, Happening::HostStarts(host));
+            self.queue.push(at, WorldEvent::HostStarts(host));
         }
         self.parked
-            .retain(|(life, ..)| self.hosts[life.host].life == life.life);
+            .retain(|(incarnation, ..)| self.hosts[incarnation.host].life == incarnation.number);
     }
 
     fn remove_hosts(&mut self, choice: HostChoice) {
         for host in self.chosen(choice) {
             self.hosts[host].kill();
-            self.watch.host_removed(self.now, host);
+            self.monitor.host_removed(self.now, host);
         }
     }
 
-    /// A host's open connections fall silent; what waits at its peers is never answered there.
-    fn silence(&mut self, host: usize) {
-        let life = self.life_of(host);
-        self.watch.disturb_host(host, self.now);
-        let lost = self.hosts[host].fall_silent();
+    /// Makes a host's open connections silent: calls that wait at its peers are never answered.
+    fn silence_host(&mut self, host: usize) {
+        let incarnation = self.incarnation_of(host);
+        self.monitor.disturb_host(host, self.now);
+        let lost_calls = self.hosts[host].fall_silent();
         self.parked
-            .retain(|(from, call, _)| *from != life || !lost.contains(call));
-        self.fleet.drop_holds(life);
+            .retain(|(from, call, _)| *from != incarnation || !lost_calls.contains(call));
+        self.fleet.drop_renewals(incarnation);
     }
 
     fn kill_racks(&mut self, racks: usize, down_ms: Millis) {
@@ -161,25 +161,27 @@
             for place in rack * size..((rack + 1) * size).min(self.fleet.count()) {
                 self.lose_worker(place, false);
                 let at = self.now + down_ms * MS;
-                self.queue.push(at, Happening::WorkerBack(place));
+                self.queue.push(at, WorldEvent::WorkerReplaced(place));
             }
         }
-        self.watch.disturb_workers(self.now);
+        self.monitor.disturb_workers(self.now);
     }
 
-    /// A share of the workers goes down; each starts again under its name, at most so long later.
+    /// Takes a share of the workers down; each restarts under its name after between `down_ms / 2` and `down_ms`.
+    ///
+    /// Connections to places with an even number are refused meanwhile; calls to the others get no answer.
     fn restart_workers(&mut self, percent: usize, down_ms: Millis) {
         let count = self.fleet.count() * percent / 100;
-        for place in self.drawn_workers(count) {
+        for place in self.draw_workers(count) {
             self.lose_worker(place, place % 2 == 0);
             let down = self.random.random_range(down_ms / 2..=down_ms);
             let at = self.now + down * MS;
-            self.queue.push(at, Happening::WorkerRestarts(place));
+            self.queue.push(at, WorldEvent::WorkerRestarts(place));
         }
-        self.watch.disturb_workers(self.now);
+        self.monitor.disturb_workers(self.now);
     }
 
-    fn drawn_workers(&mut self, count: usize) -> Vec<usize> {
+    fn draw_workers(&mut self, count: usize) -> Vec<usize> {
         let mut places: Vec<usize> = (0..self.fleet.count()).collect();
         places.shuffle(&mut self.random);
         places.truncate(count);
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -1,62 +1,65 @@
-//! The workers of the platform: who is at which place, what is listed, and holds that wait for an end.
+//! The workers of the platform: which worker is at which place, the store's list of them, and waiting lease renewals.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use sandshelf_jobs::{JobEvent, RenewalAnswer, WorkerCall, WorkerIncarnation, WorkerListing};
 use sandshelf_model::{HallId, Millis, ResourceSize, WorkerId};
 
-use super::{EmulatedWorld, Happening, HostLife};
+use super::{EmulatedWorld, HostIncarnation, WorldEvent};
 use crate::deployment::Deployment;
 use crate::host::WorkerOrder;
 use crate::oracle::UsableCapacity;
 use crate::queue::{Micros, MS};
 use crate::worker::{address_of, EmulatedWorker, WorkerBirth, WorkerScene};
 
-/// How long a worker that is gone stays listed: three of its reports.
-const GHOST: Micros = 3_300 * MS;
-/// How long a worker serves on after it has said that it leaves.
-const SERVES_ON_MS: std::ops::Range<Millis> = 3_500..9_000;
+/// How long a worker that is gone stays listed: three report intervals.
+const GONE_LISTED_US: Micros = 3_300 * MS;
+/// How long a worker keeps running tasks after the start of its draining, before it leaves.
+const DRAIN_MS: std::ops::Range<Millis> = 3_500..9_000;
 
-/// When the first worker began, in milliseconds since 1970.
-const FIRST_LIFE_MS: u64 = 1_769_000_000_000;
-/// What the clock of a worker that has started again shows at most: those of the operators' workers were up to two hours apart.
-const MOST_CLOCK_MS: u64 = 7_200_000;
+/// The base of worker incarnations: a start time in milliseconds since 1970.
+const FIRST_INCARNATION_MS: u64 = 1_769_000_000_000;
+/// The highest reading of a restarted worker's clock: clocks of real workers were up to two hours apart.
+const MAX_CLOCK_MS: u64 = 7_200_000;
 
-/// One life of the worker at a place.
+/// One incarnation of the worker at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PlaceLife {
+pub(super) struct PlaceIncarnation {
     place: usize,
-    life: u32,
+    number: u32,
 }
 
-/// A hold that waits at a worker for an end.
+/// A lease renewal that waits at a worker until a run ends or its wait is over.
 #[derive(Clone, Copy, Debug)]
-struct WaitingHold {
-    from: HostLife,
+struct WaitingRenewal {
+    from: HostIncarnation,
     call: u64,
     until: Micros,
 }
 
-/// A place where a worker stands.
+/// A place in the platform for one worker at a time.
 #[derive(Debug)]
 struct WorkerPlace {
-    life: u32,
+    /// Counts the workers and restarts at this place.
+    incarnation: u32,
     worker: Option<EmulatedWorker>,
-    /// The worker's entry in the list, and until when it stays there once the worker is gone.
+    /// The worker's entry in the store's list, and until when it stays listed once the worker is gone.
     entry: WorkerListing,
     listed_until: Micros,
-    /// Whether connections are refused while no worker is there; else calls get no answer.
+    /// Whether connections are refused while there is no worker; otherwise calls get no answer.
     refuses: bool,
-    holds: Vec<WaitingHold>,
-    /// When the next look at it is due.
+    renewals: Vec<WaitingRenewal>,
+    /// When its next update is due; `Micros::MAX` where none is scheduled.
     due: Micros,
 }
 
-/// All workers.
+/// All workers of the platform.
 #[derive(Debug)]
 pub(super) struct WorkerFleet {
     places: Vec<WorkerPlace>,
+    /// How many workers have started so far.
     incarnations: usize,
+    /// How many places share a rack.
     rack: usize,
 }
 
@@ -76,12 +79,12 @@
             };
             let (entry, worker) = fleet.make_worker(place, capacity, random);
             fleet.places.push(WorkerPlace {
-                life: 0,
+                incarnation: 0,
                 worker: Some(worker),
                 entry,
                 listed_until: Micros::MAX,
                 refuses: true,
-                holds: Vec::new(),
+                renewals: Vec::new(),
                 due: Micros::MAX,
             });
         }
@@ -98,7 +101,7 @@
         let id = WorkerId::from(format!("i-{:08x}", self.incarnations));
         let rack = format!("r1-{}", place / self.rack);
         let birth = WorkerBirth {
-            life: WorkerIncarnation(FIRST_LIFE_MS + self.incarnations as u64),
+            life: WorkerIncarnation(FIRST_INCARNATION_MS + self.incarnations as u64),
             at: 0,
             clock: 0,
             clock_percent: random.random_range(98..=100),
@@ -117,16 +120,16 @@
         (entry, EmulatedWorker::new(id, birth, capacity))
     }
 
-    /// The incarnation that stands at a place.
+    /// The name of the worker at a place.
     pub(super) fn id_at(&self, place: usize) -> Option<&WorkerId> {
         let worker = self.places[place].worker.as_ref();
         worker.map(|worker| &worker.id)
     }
 
-    /// Which life of a worker stands at a place.
-    pub(super) fn life_at(&self, place: usize) -> PlaceLife {
-        let life = self.places[place].life;
-        PlaceLife { place, life }
+    /// The current incarnation at a place.
+    pub(super) fn incarnation_at(&self, place: usize) -> PlaceIncarnation {
+        let number = self.places[place].incarnation;
+        PlaceIncarnation { place, number }
     }
 
     /// Whether connections to a place without a worker are refused.
@@ -134,42 +137,42 @@
         self.places[place].refuses
     }
 
-    pub(super) fn set_hangs(&mut self, at: PlaceLife, hangs: bool) {
-        let place = &mut self.places[at.place];
-        if let (true, Some(worker)) = (place.life == at.life, &mut place.worker) {
+    pub(super) fn set_hangs(&mut self, target: PlaceIncarnation, hangs: bool) {
+        let place = &mut self.places[target.place];
+        if let (true, Some(worker)) = (place.incarnation == target.number, &mut place.worker) {
             worker.hangs = hangs;
         }
     }
 
-    /// The list of workers as the store has it.
+    /// The workers listed in the store.
     pub(super) fn listed(&self, now: Micros) -> Vec<WorkerListing> {
         let listed = self.places.iter().filter(|place| now < place.listed_until);
         listed.map(|place| place.entry.clone()).collect()
     }
 
-    /// What is free on workers that stay and can be reached.
-    pub(super) fn sound_room(&self, calm_ms: Millis) -> UsableCapacity {
+    /// The free capacity of workers that are neither draining nor hanging.
+    pub(super) fn usable_capacity(&self, calm_ms: Millis) -> UsableCapacity {
         let workers = self.places.iter().filter_map(|place| place.worker.as_ref());
-        let sound = workers.filter(|worker| worker.draining_since.is_none() && !worker.hangs);
-        let (mut used, mut whole) = (0, 0);
+        let usable = workers.filter(|worker| worker.draining_since.is_none() && !worker.hangs);
+        let (mut used, mut total) = (0, 0);
         let mut free = Vec::new();
-        for worker in sound {
+        for worker in usable {
             let taken = worker.used();
             used += taken.cpu_millis;
-            whole += worker.capacity.cpu_millis;
+            total += worker.capacity.cpu_millis;
             free.push(worker.capacity.saturating_minus(&taken));
         }
         UsableCapacity {
-            under_half: used * 2 < whole,
+            under_half: used * 2 < total,
             calm_ms,
             free,
         }
     }
 
-    /// Forgets the holds of a host that wait: nobody hears their answers.
-    pub(super) fn drop_holds(&mut self, from: HostLife) {
+    /// Drops the waiting renewals of a host whose connections are lost, since their answers would not arrive.
+    pub(super) fn drop_renewals(&mut self, from: HostIncarnation) {
         for place in &mut self.places {
-            place.holds.retain(|hold| hold.from != from);
+            place.renewals.retain(|renewal| renewal.from != from);
         }
     }
 
@@ -183,22 +186,22 @@
 }
 
 impl EmulatedWorld {
-    fn scene_in_touch(&self) -> bool {
-        self.watch.in_touch(self.now)
+    fn platform_in_touch(&self) -> bool {
+        self.monitor.in_touch(self.now)
     }
 
-    /// A worker takes an order; a hold may wait there.
+    /// Has a worker carry out an order. A lease renewal may wait there for the end of a run.
     pub(super) fn carry_out(
         &mut self,
-        from: HostLife,
+        from: HostIncarnation,
         call: u64,
         place: usize,
         order: &WorkerOrder,
         answers: bool,
     ) {
-        let in_touch = answers && self.scene_in_touch();
-        let at = &mut self.fleet.places[place];
-        let Some(worker) = &mut at.worker else {
+        let in_touch = answers && self.platform_in_touch();
+        let slot = &mut self.fleet.places[place];
+        let Some(worker) = &mut slot.worker else {
             return;
         };
         let mut scene = WorkerScene {
@@ -212,148 +215,150 @@
         };
         let event = worker.take(order.epoch, &order.call, &mut scene);
         let hangs = worker.hangs;
-        let waits = match (&order.call, &event) {
-            (WorkerCall::Renew(hold), JobEvent::RenewalAnswered(_, RenewalAnswer::Report(_))) => {
-                hold.wait_ms * MS * u64::from(!worker.has_ended())
-            }
+        let wait_us = match (&order.call, &event) {
+            (
+                WorkerCall::Renew(renewal),
+                JobEvent::RenewalAnswered(_, RenewalAnswer::Report(_)),
+            ) => renewal.wait_ms * MS * u64::from(!worker.has_ended()),
             _ => 0,
         };
-        if waits > 0 {
-            let until = self.now + waits;
-            at.holds.push(WaitingHold { from, call, until });
+        if wait_us > 0 {
+            let until = self.now + wait_us;
+            slot.renewals.push(WaitingRenewal { from, call, until });
         } else if answers && !hangs {
             self.answer_order(from, call, event);
         }
-        self.plan_worker(place);
+        self.schedule_worker(place);
     }
 
-    /// Answers holds that wait for an end where there is one, or that have waited long enough, and plans the next look.
-    fn plan_worker(&mut self, place: usize) {
+    /// Answers the waiting renewals of a worker that has ended runs to report, and those whose wait is over; schedules the
+    /// worker's next update.
+    fn schedule_worker(&mut self, place: usize) {
         let now = self.now;
-        let at = &mut self.fleet.places[place];
-        let Some(worker) = &at.worker else {
+        let slot = &mut self.fleet.places[place];
+        let Some(worker) = &slot.worker else {
             return;
         };
-        let ended = worker.has_ended();
-        let (over, waiting) = std::mem::take(&mut at.holds)
+        let has_ends = worker.has_ended();
+        let (due, waiting) = std::mem::take(&mut slot.renewals)
             .into_iter()
-            .partition(|hold| ended || now >= hold.until);
-        at.holds = waiting;
-        let over: Vec<WaitingHold> = over;
-        let report = (!over.is_empty()).then(|| worker.report(now, &self.interference));
+            .partition(|renewal| has_ends || now >= renewal.until);
+        slot.renewals = waiting;
+        let due: Vec<WaitingRenewal> = due;
+        let report = (!due.is_empty()).then(|| worker.report(now, &self.interference));
         let hangs = worker.hangs;
-        let holds = at.holds.iter().map(|hold| hold.until);
-        let next = worker.next_change().into_iter().chain(holds).min();
-        let life = PlaceLife {
+        let waits_end = slot.renewals.iter().map(|renewal| renewal.until);
+        let next = worker.next_change().into_iter().chain(waits_end).min();
+        let incarnation = PlaceIncarnation {
             place,
-            life: at.life,
+            number: slot.incarnation,
         };
         if let Some(next) = next.map(|next| next.max(now + 1)) {
-            if next < at.due || at.due <= now {
-                at.due = next;
-                self.queue.push(next, Happening::WorkerDue(life));
+            if next < slot.due || slot.due <= now {
+                slot.due = next;
+                self.queue.push(next, WorldEvent::WorkerDue(incarnation));
             }
         }
-        for hold in over {
+        for renewal in due {
             if let (Some(report), false) = (&report, hangs) {
-                self.answer_order(hold.from, hold.call, report.clone());
+                self.answer_order(renewal.from, renewal.call, report.clone());
             }
         }
     }
 
-    /// Something is due at a worker.
-    pub(super) fn settle_worker(&mut self, life: PlaceLife) {
-        let at = &mut self.fleet.places[life.place];
-        if at.life != life.life {
+    /// Advances a worker to the current time, unless the update was scheduled for an earlier incarnation.
+    pub(super) fn update_worker(&mut self, incarnation: PlaceIncarnation) {
+        let slot = &mut self.fleet.places[incarnation.place];
+        if slot.incarnation != incarnation.number {
             return;
         }
-        if at.due <= self.now {
-            at.due = Micros::MAX;
+        if slot.due <= self.now {
+            slot.due = Micros::MAX;
         }
-        if let Some(worker) = &mut at.worker {
+        if let Some(worker) = &mut slot.worker {
             worker.settle(self.now, &mut self.oracle);
         }
-        self.plan_worker(life.place);
+        self.schedule_worker(incarnation.place);
     }
 
-    /// The worker at a place is over, and all that ran there.
+    /// Takes the worker away from a place; its runs are lost. `refuses` says whether connections are refused from then on.
     pub(super) fn lose_worker(&mut self, place: usize, refuses: bool) {
-        let at = &mut self.fleet.places[place];
-        let Some(worker) = at.worker.take() else {
+        let slot = &mut self.fleet.places[place];
+        let Some(worker) = slot.worker.take() else {
             return;
         };
         for key in worker.live() {
             self.oracle.ended(&worker.id, key, None);
         }
-        at.life += 1;
-        at.holds.clear();
-        at.due = Micros::MAX;
-        at.refuses = refuses;
-        at.listed_until = self.now + GHOST;
+        slot.incarnation += 1;
+        slot.renewals.clear();
+        slot.due = Micros::MAX;
+        slot.refuses = refuses;
+        slot.listed_until = self.now + GONE_LISTED_US;
     }
 
-    /// Another incarnation starts at a place.
-    pub(super) fn bring_worker_back(&mut self, place: usize) {
+    /// Starts a new worker, under a new name, at a place.
+    pub(super) fn replace_worker(&mut self, place: usize) {
         let capacity = self.fleet.places[place].entry.capacity;
         let (entry, worker) = self.fleet.make_worker(place, capacity, &mut self.random);
-        let at = &mut self.fleet.places[place];
-        at.worker = Some(worker);
-        at.entry = entry;
-        at.listed_until = Micros::MAX;
+        let slot = &mut self.fleet.places[place];
+        slot.worker = Some(worker);
+        slot.entry = entry;
+        slot.listed_until = Micros::MAX;
     }
 
-    /// The worker at a place starts again under its name: it knows nothing of before, and its clock shows anything.
+    /// Restarts the worker at a place under its name. It has lost all state, and its clock restarts at a random reading.
     pub(super) fn restart_worker(&mut self, place: usize) {
         self.fleet.incarnations += 1;
         let birth = WorkerBirth {
-            life: WorkerIncarnation(FIRST_LIFE_MS + self.fleet.incarnations as u64),
+            life: WorkerIncarnation(FIRST_INCARNATION_MS + self.fleet.incarnations as u64),
             at: self.now,
-            clock: self.random.random_range(0..MOST_CLOCK_MS),
+            clock: self.random.random_range(0..MAX_CLOCK_MS),
             clock_percent: self.random.random_range(98..=100),
         };
-        let at = &mut self.fleet.places[place];
-        if at.worker.is_some() {
+        let slot = &mut self.fleet.places[place];
+        if slot.worker.is_some() {
             return;
         }
-        let id = at.entry.worker.clone();
-        at.worker = Some(EmulatedWorker::new(id, birth, at.entry.capacity));
-        at.entry.incarnation = Some(birth.life);
-        at.entry.draining = false;
-        at.listed_until = Micros::MAX;
+        let id = slot.entry.worker.clone();
+        slot.worker = Some(EmulatedWorker::new(id, birth, slot.entry.capacity));
+        slot.entry.incarnation = Some(birth.life);
+        slot.entry.draining = false;
+        slot.listed_until = Micros::MAX;
     }
 
-    /// A worker says that it leaves.
+    /// Starts the draining of a worker, and schedules its departure.
     pub(super) fn drain_worker(&mut self, place: usize) {
-        let at = &mut self.fleet.places[place];
-        let Some(worker) = &mut at.worker else {
+        let slot = &mut self.fleet.places[place];
+        let Some(worker) = &mut slot.worker else {
             return;
         };
         worker.draining_since = Some(self.now);
-        at.entry.draining = true;
-        let life = PlaceLife {
+        slot.entry.draining = true;
+        let incarnation = PlaceIncarnation {
             place,
-            life: at.life,
+            number: slot.incarnation,
         };
-        let serves_on = self.random.random_range(SERVES_ON_MS) * MS;
+        let drain_us = self.random.random_range(DRAIN_MS) * MS;
         self.queue
-            .push(self.now + serves_on, Happening::WorkerLeaves(life));
+            .push(self.now + drain_us, WorldEvent::WorkerLeaves(incarnation));
     }
 
-    pub(super) fn worker_leaves(&mut self, life: PlaceLife) {
-        if self.fleet.places[life.place].life == life.life {
-            self.lose_worker(life.place, false);
-            self.fleet.places[life.place].listed_until = self.now;
+    pub(super) fn worker_leaves(&mut self, incarnation: PlaceIncarnation) {
+        if self.fleet.places[incarnation.place].incarnation == incarnation.number {
+            self.lose_worker(incarnation.place, false);
+            self.fleet.places[incarnation.place].listed_until = self.now;
         }
     }
 
-    /// A worker hangs for some time.
+    /// Has a worker hang: it still carries out orders, but does not answer until `for_ms` have passed.
     pub(super) fn hang_worker(&mut self, place: usize, for_ms: Millis) {
-        let life = PlaceLife {
+        let incarnation = PlaceIncarnation {
             place,
-            life: self.fleet.places[place].life,
+            number: self.fleet.places[place].incarnation,
         };
-        self.fleet.set_hangs(life, true);
-        let well = Happening::WorkerWell(life);
-        self.queue.push(self.now + for_ms * MS, well);
+        self.fleet.set_hangs(incarnation, true);
+        let recovers = WorldEvent::WorkerRecovers(incarnation);
+        self.queue.push(self.now + for_ms * MS, recovers);
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,11 +1,11 @@
-//! The emulated world: hosts, workers, store, callers and the operator, in one queue of what happens next.
+//! The emulated platform: hosts, workers, store, callers and the operator, driven by one queue of timed events.
 
 mod callers;
 mod cuts;
+mod day_events;
 mod fleet;
-mod look;
-mod passage;
-mod strike;
+mod monitor;
+mod transport;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,103 +19,107 @@
 use crate::oracle::{HostOracle, PlatformOracle};
 use crate::queue::{EventQueue, Micros, MS};
 use crate::store::{EmulatedStore, StoreAsk};
-use callers::CallerDesk;
+use callers::CallerState;
 use cuts::HallMap;
-use fleet::{PlaceLife, WorkerFleet};
-use look::PlayWatch;
-use passage::{AtWorker, LinkTransfer};
+use fleet::{PlaceIncarnation, WorkerFleet};
+use monitor::SimulationMonitor;
+use transport::{LinkTransfer, OrderDelivery};
 
-/// How long the machines run before the traffic starts.
-pub const LEAD_MS: Millis = 8_000;
-/// When what stands from the start is handed in.
-const FILLED_AT_MS: Millis = 2_000;
-/// How long after the traffic jobs may come to their end.
-const FINISH_MS: Millis = 14_000;
-/// How often it is looked whether rules hold.
-const LOOK_MS: Millis = 100;
-/// Hosts start within so long of each other.
+/// How long the machines run before the callers' traffic starts.
+pub const WARM_UP_MS: Millis = 8_000;
+/// When the first of the jobs that exist before the traffic is submitted.
+const INITIAL_JOBS_AT_MS: Millis = 2_000;
+/// How long the simulation continues after the traffic, so that jobs can finish.
+const COOL_DOWN_MS: Millis = 14_000;
+/// How often the rules are checked.
+const CHECK_INTERVAL_MS: Millis = 100;
+/// Each host starts at a random time within this span.
 const START_SPREAD_MS: Millis = 300;
 
-/// One life of a host's process.
+/// One incarnation of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct HostLife {
+struct HostIncarnation {
     host: usize,
-    life: u32,
+    number: u32,
 }
 
-/// What happens next.
+/// A timed event of the simulation.
 #[derive(Debug)]
-enum Happening {
-    /// A host does what has come in.
-    Turn(HostLife),
-    /// Something reaches a host.
-    Reach(HostLife, WorkItem),
-    /// A host sends what it has worked out.
-    Act(HostLife, HostAction),
-    /// The next part of a transfer takes its turn on a link.
-    Chunk(Box<LinkTransfer>),
-    /// An order reaches a worker.
-    AtWorker(Box<AtWorker>),
-    /// A question reaches the store.
-    AtStore(HostLife, u64, StoreAsk),
-    /// A feed has waited long enough.
-    FeedOver(HostLife, u64),
-    /// Something is due at a worker.
-    WorkerDue(PlaceLife),
-    /// A worker's place is taken by a new incarnation.
-    WorkerBack(usize),
-    /// The worker of a place starts again under its name.
+enum WorldEvent {
+    /// A host processes its queued work items.
+    HostTurn(HostIncarnation),
+    /// A work item arrives at a host.
+    HostReceives(HostIncarnation, WorkItem),
+    /// A host carries out an action that its turn led to.
+    HostActs(HostIncarnation, HostAction),
+    /// The next chunk of a transfer is sent over a link.
+    LinkChunk(Box<LinkTransfer>),
+    /// An order arrives at a worker.
+    WorkerReceives(Box<OrderDelivery>),
+    /// A call arrives at the store, with the caller's call number.
+    StoreReceives(HostIncarnation, u64, StoreAsk),
+    /// A feed call (a long poll for changes) has reached its longest wait.
+    FeedTimeout(HostIncarnation, u64),
+    /// The next state change of a worker, or the end of a waiting renewal, is due.
+    WorkerDue(PlaceIncarnation),
+    /// A new worker starts, under a new name, at the place of one that crashed.
+    WorkerReplaced(usize),
+    /// The worker of a place restarts under the same name.
     WorkerRestarts(usize),
-    /// A worker that had announced it is gone.
-    WorkerLeaves(PlaceLife),
+    /// A draining worker leaves the platform.
+    WorkerLeaves(PlaceIncarnation),
     /// A worker that hung answers again.
-    WorkerWell(PlaceLife),
+    WorkerRecovers(PlaceIncarnation),
     /// A host's process starts.
     HostStarts(usize),
-    /// The next job of a class is handed in.
+    /// The next job of a class is submitted.
     NextJob(usize),
-    /// A job that stands from the start is handed in.
-    FilledJob(usize),
-    /// A caller asks a host.
-    Ask(RequestBody, u32),
-    /// A caller that had no answer tries again, if it still has none.
-    AskAgain(usize),
-    /// Something on the day's list.
-    Strike(DayEvent),
-    /// All runs of images fail no longer.
-    ImagesWell,
-    /// Rules are looked at.
-    Look,
+    /// A job that exists before the traffic is submitted.
+    InitialJob(usize),
+    /// A caller sends a request to a host; the number is that of the try, counted from 1.
+    SendRequest(RequestBody, u32),
+    /// A caller retries a request, unless it has been answered.
+    RetryRequest(usize),
+    /// A planned event of the day.
+    Planned(DayEvent),
+    /// Images whose runs all failed work again.
+    ImagesRecover,
+    /// The rules are checked.
+    CheckRules,
 }
 
-/// All that is emulated.
+/// The emulated platform with its event queue and its oracles.
 #[derive(Debug)]
 pub struct EmulatedWorld {
     now: Micros,
-    queue: EventQueue<Happening>,
+    queue: EventQueue<WorldEvent>,
     deployment: Deployment,
     ends_at: Micros,
+    /// When callers stop submitting jobs.
     traffic_until: Micros,
     random: ChaCha8Rng,
     hosts: Vec<EmulatedHost>,
     fleet: WorkerFleet,
     store: EmulatedStore,
-    parked: Vec<(HostLife, u64, StoreAsk)>,
+    /// Feed calls that wait at the store for a change.
+    parked: Vec<(HostIncarnation, u64, StoreAsk)>,
     book: JobBook,
     interference: InterferenceModel,
-    callers: CallerDesk,
-    watch: PlayWatch,
+    callers: CallerState,
+    monitor: SimulationMonitor,
     halls: HallMap,
+    /// Until when orders may be delayed, and how many of a thousand are.
     late_orders: (Micros, u32),
+    /// The class with a burst of traffic, the burst's rate in percent of the usual one, and when it ends.
     burst: (usize, u32, Micros),
-    /// What workers and callers saw.
+    /// Checks what workers and callers observe.
     pub oracle: PlatformOracle,
-    /// What operators and callers saw of hosts.
+    /// Checks what operators and callers observe of hosts.
     pub host_oracle: HostOracle,
 }
 
 impl EmulatedWorld {
-    /// A world that is about to begin a day.
+    /// A world at the start of a day.
     pub fn new(seed: u64, day: DayPlan) -> Self {
         let DayPlan {
             deployment,
@@ -133,11 +137,11 @@
                 .map_or(1, |class| class.images)
         };
         let interference = InterferenceModel::draw(seed, images(2), images(1), deployment.swing_ms);
-        let traffic_until = (LEAD_MS + length_ms) * MS;
+        let traffic_until = (WARM_UP_MS + length_ms) * MS;
         let mut world = Self {
             now: 0,
             queue: EventQueue::default(),
-            ends_at: traffic_until + FINISH_MS * MS,
+            ends_at: traffic_until + COOL_DOWN_MS * MS,
             traffic_until,
             hosts: hosts.collect(),
             fleet: WorkerFleet::new(&deployment, &mut random),
@@ -145,8 +149,8 @@
             parked: Vec::new(),
             book: JobBook::new(seed),
             interference,
-            callers: CallerDesk::default(),
-            watch: PlayWatch::new(&deployment),
+            callers: CallerState::default(),
+            monitor: SimulationMonitor::new(&deployment),
             halls: HallMap::new(deployment.workers),
             late_orders: (0, 0),
             burst: (0, 100, 0),
@@ -164,80 +168,91 @@
         self.host_oracle.configured(0, version);
         for host in 0..self.hosts.len() {
             let at = self.random.random_range(0..START_SPREAD_MS) * MS;
-            self.queue.push(at, Happening::HostStarts(host));
+            self.queue.push(at, WorldEvent::HostStarts(host));
         }
         for (index, class) in self.deployment.classes.iter().enumerate() {
             for number in 0..class.filled {
-                let at = (FILLED_AT_MS + number as u64 * 5) * MS;
-                self.queue.push(at, Happening::FilledJob(index));
+                let at = (INITIAL_JOBS_AT_MS + number as u64 * 5) * MS;
+                self.queue.push(at, WorldEvent::InitialJob(index));
             }
-            self.queue.push(LEAD_MS * MS, Happening::NextJob(index));
+            self.queue.push(WARM_UP_MS * MS, WorldEvent::NextJob(index));
         }
         for (at, event) in events {
             self.queue
-                .push((LEAD_MS + at) * MS, Happening::Strike(event));
+                .push((WARM_UP_MS + at) * MS, WorldEvent::Planned(event));
         }
-        self.queue.push(LOOK_MS * MS, Happening::Look);
+        self.queue
+            .push(CHECK_INTERVAL_MS * MS, WorldEvent::CheckRules);
     }
 
-    /// Measures the scheduler's own time from now on.
+    /// Turns on the measurement of the scheduler's own processor time.
     pub fn measure_scheduler(&mut self) {
         for host in &mut self.hosts {
             host.meter.on = true;
         }
     }
 
-    /// Plays the day to its end.
+    /// Runs the simulation to the end of the day.
     pub fn play(&mut self) {
-        while let Some((at, happening)) = self.queue.pop_until(self.ends_at) {
+        while let Some((at, event)) = self.queue.pop_until(self.ends_at) {
             self.now = at;
-            self.happen(happening);
+            self.handle_event(event);
         }
         self.now = self.ends_at;
         self.finish();
     }
 
-    fn lives(&self, life: HostLife) -> bool {
-        self.hosts[life.host].life == life.life
+    fn is_current(&self, incarnation: HostIncarnation) -> bool {
+        self.hosts[incarnation.host].life == incarnation.number
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Turn(life) if self.lives(life) => self.turn(life),
-            Happening::Reach(life, item) if self.lives(life) => self.reach(life, item),
-            Happening::Act(life, action) if self.lives(life) => self.act(life, action),
-            Happening::AtStore(life, call, ask) => self.at_store(life, call, ask),
-            Happening::FeedOver(life, call) => self.end_feed(life, call),
-            Happening::Turn(_) | Happening::Reach(..) | Happening::Act(..) => {}
-            Happening::Chunk(transfer) => self.move_chunk(*transfer),
-            Happening::AtWorker(order) => self.at_worker(*order),
-            Happening::WorkerDue(place) => self.settle_worker(place),
-            Happening::WorkerBack(place) => self.bring_worker_back(place),
-            Happening::WorkerRestarts(place) => self.restart_worker(place),
-            Happening::WorkerLeaves(place) => self.worker_leaves(place),
-            Happening::WorkerWell(place) => self.fleet.set_hangs(place, false),
-            Happening::HostStarts(host) => self.start_host(host),
-            Happening::NextJob(class) => self.next_job(class),
-            Happening::FilledJob(class) => self.hand_in(class),
-            Happening::Ask(body, tries) => self.ask_host(body, tries),
-            Happening::AskAgain(request) => self.ask_again(request),
-            Happening::Strike(event) => self.strike(event),
-            Happening::ImagesWell => self.book.failing_images.clear(),
-            Happening::Look => {
-                self.look();
-                self.queue.push(self.now + LOOK_MS * MS, Happening::Look);
+    fn handle_event(&mut self, event: WorldEvent) {
+        match event {
+            WorldEvent::HostTurn(incarnation) if self.is_current(incarnation) => {
+                self.turn(incarnation)
+            }
+            WorldEvent::HostReceives(incarnation, item) if self.is_current(incarnation) => {
+                self.reach(incarnation, item)
+            }
+            WorldEvent::HostActs(incarnation, action) if self.is_current(incarnation) => {
+                self.act(incarnation, action)
+            }
+            WorldEvent::StoreReceives(incarnation, call, ask) => {
+                self.deliver_to_store(incarnation, call, ask)
+            }
+            WorldEvent::FeedTimeout(incarnation, call) => self.time_out_feed(incarnation, call),
+            WorldEvent::HostTurn(_) | WorldEvent::HostReceives(..) | WorldEvent::HostActs(..) => {}
+            WorldEvent::LinkChunk(transfer) => self.send_chunk(*transfer),
+            WorldEvent::WorkerReceives(order) => self.deliver_order(*order),
+            WorldEvent::WorkerDue(place) => self.update_worker(place),
+            WorldEvent::WorkerReplaced(place) => self.replace_worker(place),
+            WorldEvent::WorkerRestarts(place) => self.restart_worker(place),
+            WorldEvent::WorkerLeaves(place) => self.worker_leaves(place),
+            WorldEvent::WorkerRecovers(place) => self.fleet.set_hangs(place, false),
+            WorldEvent::HostStarts(host) => self.start_host(host),
+            WorldEvent::NextJob(class) => self.next_job(class),
+            WorldEvent::InitialJob(class) => self.submit_job(class),
+            WorldEvent::SendRequest(body, tries) => self.send_to_host(body, tries),
+            WorldEvent::RetryRequest(request) => self.retry_request(request),
+            WorldEvent::Planned(event) => self.apply_day_event(event),
+            WorldEvent::ImagesRecover => self.book.failing_images.clear(),
+            WorldEvent::CheckRules => {
+                self.check_rules();
+                self.queue
+                    .push(self.now + CHECK_INTERVAL_MS * MS, WorldEvent::CheckRules);
             }
         }
     }
 
-    /// Something reaches a host, which does it at its next turn.
-    fn reach(&mut self, life: HostLife, item: WorkItem) {
-        let host = &mut self.hosts[life.host];
+    /// Queues a work item at a host, which processes it at its next turn.
+    fn reach(&mut self, incarnation: HostIncarnation, item: WorkItem) {
+        let host = &mut self.hosts[incarnation.host];
         if let WorkItem::GivenUp(call) = item {
-            // Where bytes have come meanwhile, patience may last longer.
+            // The call's timeout is extended when bytes of its answer arrive.
             match host.patience_until(call) {
                 Some(until) if until > self.now => {
-                    self.queue.push(until, Happening::Reach(life, item));
+                    self.queue
+                        .push(until, WorldEvent::HostReceives(incarnation, item));
                     return;
                 }
                 Some(_) => {}
@@ -246,65 +261,69 @@
         }
         if host.push(item) {
             let at = host.processor.free_at().max(self.now);
-            self.queue.push(at, Happening::Turn(life));
+            self.queue.push(at, WorldEvent::HostTurn(incarnation));
         }
     }
 
-    fn turn(&mut self, life: HostLife) {
-        let host = &mut self.hosts[life.host];
+    fn turn(&mut self, incarnation: HostIncarnation) {
+        let host = &mut self.hosts[incarnation.host];
         for (at, action) in host.turn(self.now) {
-            self.queue.push(at, Happening::Act(life, action));
+            self.queue
+                .push(at, WorldEvent::HostActs(incarnation, action));
         }
-        let host = &mut self.hosts[life.host];
+        let host = &mut self.hosts[incarnation.host];
         host.awake = host.has_work();
         if host.awake {
             let at = host.processor.free_at().max(self.now);
-            self.queue.push(at, Happening::Turn(life));
+            self.queue.push(at, WorldEvent::HostTurn(incarnation));
         }
     }
 
-    fn act(&mut self, life: HostLife, action: HostAction) {
+    fn act(&mut self, incarnation: HostIncarnation, action: HostAction) {
         match action {
-            HostAction::Connect(call) => self.connect(life, call),
+            HostAction::Connect(call) => self.connect(incarnation, call),
             HostAction::Send(call, peer, body, bytes) => {
-                self.send(life, call, peer, body, bytes);
+                self.send(incarnation, call, peer, body, bytes);
             }
             HostAction::Watch(call, at) => {
                 let item = WorkItem::GivenUp(call);
-                self.queue.push(at, Happening::Reach(life, item));
+                self.queue
+                    .push(at, WorldEvent::HostReceives(incarnation, item));
             }
-            HostAction::Pause(pause, at) => self.pause(life, pause, at),
+            HostAction::Pause(pause, at) => self.pause(incarnation, pause, at),
             HostAction::Tick(at) => {
-                let reach = Happening::Reach(life, WorkItem::Tick);
+                let reach = WorldEvent::HostReceives(incarnation, WorkItem::Tick);
                 self.queue.push(at, reach);
             }
-            HostAction::Respond(request, served) => self.responded(request, served),
+            HostAction::Respond(request, served) => self.handle_response(request, served),
             HostAction::Owned(epoch, took_ms) => {
-                self.watch.owned(self.now, life.host, epoch, took_ms);
+                self.monitor
+                    .owned(self.now, incarnation.host, epoch, took_ms);
             }
-            HostAction::Noted(note) => self.watch.note(&note),
+            HostAction::Noted(note) => self.monitor.note(&note),
         }
     }
 
-    fn pause(&mut self, life: HostLife, pause: HostPause, at: Micros) {
+    fn pause(&mut self, incarnation: HostIncarnation, pause: HostPause, at: Micros) {
         let item = WorkItem::Resume(pause);
-        self.queue.push(at, Happening::Reach(life, item));
+        self.queue
+            .push(at, WorldEvent::HostReceives(incarnation, item));
     }
 
     fn start_host(&mut self, host: usize) {
-        self.watch.host_back(self.now, host);
+        self.monitor.host_back(self.now, host);
         let max_lease_ms = self.deployment.max_lease_ms;
         self.hosts[host].launch(self.now, max_lease_ms);
-        let life = self.life_of(host);
+        let incarnation = self.incarnation_of(host);
         let host = &mut self.hosts[host];
         host.awake = true;
-        self.queue.push(self.now, Happening::Turn(life));
+        self.queue.push(self.now, WorldEvent::HostTurn(incarnation));
     }
 
-    fn life_of(&self, host: usize) -> HostLife {
-        HostLife {
+    fn incarnation_of(&self, host: usize) -> HostIncarnation {
+        HostIncarnation {
             host,
-            life: self.hosts[host].life,
+            number: self.hosts[host].life,
         }
     }
 }
--- a/crates/emulator/src/world/look.rs
+++ b/crates/emulator/src/world/monitor.rs
@@ -1,36 +1,40 @@
-//! Looks at rules from time to time, and keeps what a report tells of a play.
+//! Checks the rules periodically, tracks disturbances, and collects the simulation's report.
 
 use sandshelf_jobs::{JobNote, OrderAnswer, RefusalReason};
 use sandshelf_model::Millis;
 
-use super::{EmulatedWorld, LEAD_MS, LOOK_MS};
+use super::{EmulatedWorld, CHECK_INTERVAL_MS, WARM_UP_MS};
 use crate::deployment::Deployment;
 use crate::oracle::HostObservation;
 use crate::queue::{Micros, MS};
 use crate::report::{HostOutage, OwnerSecond, OwnerTakeover, SimulationReport};
 
-/// How often owners' figures are kept and serving jobs are counted.
-const SECOND_MS: Millis = 1_000;
-const SERVING_MS: Millis = 2_000;
-/// A host whose packets wait for longer counts as disturbed for some time while callers press beyond the usual.
-const CHOKED_MS: Millis = 500;
-const CHOKED_FOR: Micros = 5_000 * MS;
+/// How often the owner's stats are recorded.
+const OWNER_STATS_INTERVAL_MS: Millis = 1_000;
+/// How often serving jobs are counted.
+const SERVING_COUNT_INTERVAL_MS: Millis = 2_000;
+/// During a burst of traffic, a host whose incoming packets queue for longer than this counts as disturbed.
+const CONGESTED_QUEUE_MS: Millis = 500;
+/// How long a congested host counts as disturbed.
+const CONGESTION_DISTURBS_US: Micros = 5_000 * MS;
 
-/// Since when what is undisturbed, and what was seen of the play.
+/// Until when parts of the platform are disturbed, and the report that is being collected.
 #[derive(Debug)]
-pub(super) struct PlayWatch {
-    /// Whether each host is lost, and until when it counts as disturbed.
+pub(super) struct SimulationMonitor {
+    /// For each host, whether it is down, and until when it counts as disturbed.
     hosts: Vec<(bool, Micros)>,
+    /// Until when the store is disturbed.
     store_until: Micros,
+    /// Until when anything is disturbed.
     any_until: Micros,
-    /// When all hosts were last lost.
+    /// Since when all hosts have been lost; `None` again once all of them are back.
     all_lost: Option<Micros>,
     pub(super) report: SimulationReport,
     last_used: Vec<Micros>,
     last_carried: Vec<u64>,
 }
 
-impl PlayWatch {
+impl SimulationMonitor {
     pub(super) fn new(deployment: &Deployment) -> Self {
         let count = deployment.hosts.len();
         Self {
@@ -72,7 +76,7 @@
         }
     }
 
-    /// A host that is lost for good is waited for by nobody.
+    /// Records that a host is lost permanently: its return is not waited for.
     pub(super) fn host_removed(&mut self, now: Micros, host: usize) {
         self.hosts[host].0 = true;
         self.any_until = self.any_until.max(now);
@@ -93,22 +97,23 @@
         self.any_until = self.any_until.max(until);
     }
 
+    /// Since when a host and the store have been free of disturbances; `None` while the host is down.
     fn calm_since(&self, host: usize) -> Option<Micros> {
         let (lost, until) = self.hosts[host];
         (!lost).then_some(until.max(self.store_until))
     }
 
-    /// Whether nothing has been disturbed for as long as rules with a time bound ask for.
+    /// Whether there has been no disturbance for `contact_ms`, as rules with a time limit require.
     pub(super) fn in_touch(&self, now: Micros) -> bool {
         now >= self.any_until + self.report.contact_ms * MS
     }
 
-    /// A host has read what it takes over.
+    /// Records that a new owner has read the state that it takes over.
     pub(super) fn owned(&mut self, now: Micros, host: usize, epoch: u64, took_ms: Millis) {
         self.report.takeovers.push(OwnerTakeover {
             epoch,
             host,
-            owned_ms: (now / MS) as i64 - LEAD_MS as i64,
+            owned_ms: (now / MS) as i64 - WARM_UP_MS as i64,
             took_ms,
             waited_ms: None,
         });
@@ -137,57 +142,60 @@
 }
 
 impl EmulatedWorld {
-    pub(super) fn look(&mut self) {
+    pub(super) fn check_rules(&mut self) {
         let now = self.now / MS;
-        let calm_since = self.watch.any_until / MS;
+        let calm_since = self.monitor.any_until / MS;
         let store_answers = self.now >= self.store.silent_until;
         if store_answers {
-            let room = self.fleet.sound_room(now.saturating_sub(calm_since));
-            self.oracle.check_away_tasks(now, LOOK_MS, &room);
-            // What a cut worker may have at work is started elsewhere only once its lease is over.
+            let room = self.fleet.usable_capacity(now.saturating_sub(calm_since));
+            self.oracle.check_away_tasks(now, CHECK_INTERVAL_MS, &room);
+            // Tasks that a worker in a cut-off hall may be running are started elsewhere only once its lease has expired.
             if self.halls_in_touch() {
-                self.oracle.check_idle_jobs(now, LOOK_MS, &room);
+                self.oracle.check_idle_jobs(now, CHECK_INTERVAL_MS, &room);
             }
         }
         let contact_ms = self.deployment.bounds.contact_ms;
         self.oracle.check_late_stops(now, calm_since + contact_ms);
-        self.look_at_hosts();
-        if now.is_multiple_of(SECOND_MS) {
-            self.look_at_owner();
+        self.check_hosts();
+        if now.is_multiple_of(OWNER_STATS_INTERVAL_MS) {
+            self.record_owner_stats();
         }
-        if now.is_multiple_of(SERVING_MS) && now >= LEAD_MS && self.now < self.traffic_until {
+        if now.is_multiple_of(SERVING_COUNT_INTERVAL_MS)
+            && now >= WARM_UP_MS
+            && self.now < self.traffic_until
+        {
             self.count_serving();
         }
     }
 
-    /// Whether no hall has been cut off for as long as rules with a time bound ask for.
+    /// Whether no hall has been cut off for `contact_ms`, as rules with a time limit require.
     fn halls_in_touch(&self) -> bool {
         let contact = self.deployment.bounds.contact_ms * MS;
         let cut_until = self.halls.cut_until();
         cut_until.is_none_or(|until| self.now >= until + contact)
     }
 
-    fn look_at_hosts(&mut self) {
+    fn check_hosts(&mut self) {
         let (_, _, burst_until) = self.burst;
         for index in 0..self.hosts.len() {
             let host = &self.hosts[index];
-            if self.now < burst_until && host.downlink.queue_ms(self.now) > CHOKED_MS {
-                let until = self.now + CHOKED_FOR;
-                self.watch.hosts[index].1 = self.watch.hosts[index].1.max(until);
+            if self.now < burst_until && host.downlink.queue_ms(self.now) > CONGESTED_QUEUE_MS {
+                let until = self.now + CONGESTION_DISTURBS_US;
+                self.monitor.hosts[index].1 = self.monitor.hosts[index].1.max(until);
             }
-            let calm_since = self.watch.calm_since(index);
-            let sight = HostObservation {
-                life: host.life,
+            let calm_since = self.monitor.calm_since(index);
+            let observation = HostObservation {
+                incarnation: host.life,
                 version: host.config_version(),
                 calm_since: calm_since.filter(|_| host.up).map(|since| since / MS),
             };
             let now = self.now / MS;
             self.host_oracle
-                .check_host(now, index, &sight, 0, &mut self.oracle);
+                .check_host(now, index, &observation, 0, &mut self.oracle);
         }
     }
 
-    fn look_at_owner(&mut self) {
+    fn record_owner_stats(&mut self) {
         let now = self.now;
         let owners = (0..self.hosts.len()).filter_map(|host| {
             let figures = self.hosts[host].owner_figures(now)?;
@@ -198,13 +206,13 @@
             let used = owner
                 .processor
                 .used
-                .saturating_sub(self.watch.last_used[host]);
+                .saturating_sub(self.monitor.last_used[host]);
             let carried = owner
                 .downlink
                 .carried
-                .saturating_sub(self.watch.last_carried[host]);
-            self.watch.report.seconds.push(OwnerSecond {
-                second: (now / MS) as i64 / 1_000 - LEAD_MS as i64 / 1_000,
+                .saturating_sub(self.monitor.last_carried[host]);
+            self.monitor.report.seconds.push(OwnerSecond {
+                second: (now / MS) as i64 / 1_000 - WARM_UP_MS as i64 / 1_000,
                 host,
                 epoch,
                 processor_millis: used / 1_000,
@@ -214,16 +222,16 @@
             });
         }
         for (index, host) in self.hosts.iter().enumerate() {
-            self.watch.last_used[index] = host.processor.used;
-            self.watch.last_carried[index] = host.downlink.carried;
+            self.monitor.last_used[index] = host.processor.used;
+            self.monitor.last_carried[index] = host.downlink.carried;
         }
     }
 
-    /// Looks at what can be told only at the end.
+    /// Runs the checks that need the whole simulation.
     pub(super) fn finish(&mut self) {
         self.count_served();
         let until = self.traffic_until / MS;
-        for times in &self.watch.report.losses {
+        for times in &self.monitor.report.losses {
             if let Some(back) = times.back_ms {
                 let (oracle, lost) = (&mut self.oracle, times.lost_ms);
                 self.host_oracle.check_recovery(until, lost, back, oracle);
@@ -231,9 +239,9 @@
         }
     }
 
-    /// What is to be told of the play.
+    /// The report of the simulation.
     pub fn report(&self) -> SimulationReport {
-        let mut report = self.watch.report.clone();
+        let mut report = self.monitor.report.clone();
         report.hosts = self
             .hosts
             .iter()
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -11,7 +11,7 @@
 
 fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostObservation {
     HostObservation {
-        life: 1,
+        incarnation: 1,
         version,
         calm_since,
     }
