--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -28,7 +28,7 @@
 
 /// Which way nothing passes between a hall and everything outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutWay {
+pub enum CutDirection {
     /// Nothing gets out.
     Outward,
     /// Nothing gets in.
@@ -37,15 +37,15 @@
     Both,
 }
 
-impl CutWay {
+impl CutDirection {
     /// Whether a hall that is cut off this way stops what goes from one place to another, each a hall or, with none, outside of all of them.
     pub fn stops(self, hall: usize, from: Option<usize>, to: Option<usize>) -> bool {
         let outward = from == Some(hall) && to != Some(hall);
         let inward = from != Some(hall) && to == Some(hall);
         match self {
-            CutWay::Outward => outward,
-            CutWay::Inward => inward,
-            CutWay::Both => outward || inward,
+            CutDirection::Outward => outward,
+            CutDirection::Inward => inward,
+            CutDirection::Both => outward || inward,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// All open connections of hosts fall silent; new ones work.
     SilentConnections(HostChoice),
     /// A hall is cut off from the others and from the store for so long.
-    CutHall(HallChoice, CutWay, Millis),
+    CutHall(HallChoice, CutDirection, Millis),
     /// The store answers nobody for so long.
     StoreSilent(Millis),
     /// The store takes so many times as long for so long.
--- a/crates/emulator/src/days.rs
+++ b/crates/emulator/src/days.rs
@@ -1,6 +1,6 @@
 //! Days that are played again and again, by name.
 
-use crate::day::{CutWay, DayEvent, DayPlan, HallChoice, HostChoice};
+use crate::day::{CutDirection, DayEvent, DayPlan, HallChoice, HostChoice};
 use crate::deployment::{Deployment, WEAK_HOST};
 
 /// The class of filling jobs, whose traffic bursts.
@@ -117,19 +117,19 @@
         "cuts" => burst_day(calm, 13_000)
             .with(
                 6_000,
-                DayEvent::CutHall(HallChoice::Owner, CutWay::Outward, 5_500),
+                DayEvent::CutHall(HallChoice::Owner, CutDirection::Outward, 5_500),
             )
             .with(
                 13_500,
-                DayEvent::CutHall(HallChoice::Owner, CutWay::Inward, 6_000),
+                DayEvent::CutHall(HallChoice::Owner, CutDirection::Inward, 6_000),
             )
             .with(
                 20_500,
-                DayEvent::CutHall(HallChoice::Owner, CutWay::Outward, 7_000),
+                DayEvent::CutHall(HallChoice::Owner, CutDirection::Outward, 7_000),
             )
             .with(
                 22_000,
-                DayEvent::CutHall(HallChoice::Number(1), CutWay::Both, 4_000),
+                DayEvent::CutHall(HallChoice::Number(1), CutDirection::Both, 4_000),
             ),
         _ => return None,
     })
--- a/crates/emulator/src/world/cuts.rs
+++ b/crates/emulator/src/world/cuts.rs
@@ -3,7 +3,7 @@
 //! Each host and each worker is in a hall; the store and the callers are in none. A message that a cut stops is lost,
 //! and its sender waits until its timeout. Callers reach every host.
 
-use crate::day::CutWay;
+use crate::day::CutDirection;
 use crate::host::CallPeer;
 use crate::queue::Micros;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HallCut {
     hall: usize,
-    way: CutWay,
+    way: CutDirection,
     until: Micros,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(super) fn cut(&mut self, hall: usize, way: CutWay, until: Micros) {
+    pub(super) fn cut(&mut self, hall: usize, way: CutDirection, until: Micros) {
         self.cuts.push(HallCut { hall, way, until });
     }
 
--- a/crates/emulator/src/world/day_events.rs
+++ b/crates/emulator/src/world/day_events.rs
@@ -5,7 +5,7 @@
 use sandshelf_model::Millis;
 
 use super::{EmulatedWorld, WorldEvent};
-use crate::day::{CutWay, DayEvent, HallChoice, HostChoice};
+use crate::day::{CutDirection, DayEvent, HallChoice, HostChoice};
 use crate::deployment::STRONG_HOST;
 use crate::queue::{Micros, MS};
 
@@ -104,7 +104,7 @@
         running
     }
 
-    fn cut_hall(&mut self, choice: HallChoice, way: CutWay, for_ms: Millis) {
+    fn cut_hall(&mut self, choice: HallChoice, way: CutDirection, for_ms: Millis) {
         let until = self.now + for_ms * MS;
         let hall = match choice {
             HallChoice::Number(hall) => Some(hall),
--- a/crates/jobs/tests/support/emulator/halls.rs
+++ b/crates/jobs/tests/support/emulator/halls.rs
@@ -1,7 +1,7 @@
 //! Halls that packets leave or enter no more: hosts and workers in one hear each other, and the store stands outside.
 
 use rand::RngExt;
-use sandshelf_emulator::day::CutWay;
+use sandshelf_emulator::day::CutDirection;
 use sandshelf_model::{HallId, Millis};
 
 use super::PlatformEmulator;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HallCut {
     pub hall: usize,
-    pub way: CutWay,
+    pub way: CutDirection,
     pub since: Millis,
     pub until: Millis,
 }
@@ -40,7 +40,7 @@
             true => owners,
             false => any,
         };
-        let way = [CutWay::Outward, CutWay::Inward, CutWay::Both][self.random.random_range(0..3)];
+        let way = [CutDirection::Outward, CutDirection::Inward, CutDirection::Both][self.random.random_range(0..3)];
         let until = self.now + self.random.random_range(1_000..14_000);
         self.cut = Some(HallCut {
             hall,
