--- a/crates/emulator/src/bin/sandshelf-emulate.rs
+++ b/crates/emulator/src/bin/sandshelf-emulate.rs
@@ -1,4 +1,4 @@
-//! Plays days in virtual time and tells what broke, and what owners spent.
+//! Simulates days in virtual time, and prints the broken rules and the resources that owners used.
 //!
 //! `cargo run --release -p sandshelf-emulator -- --site auction --day burst --seeds 1:5`
 
@@ -14,11 +14,11 @@
 const USAGE: &str = "\
 sandshelf-emulate [--site auction|code-search|small] [--day NAME] [--seeds FIRST:LAST]
                   [--seconds] [--measure] [--broken N]
-  --seconds   the owner's figures second by second
-  --measure   the scheduler's own time against its costs
-  --broken N  the first N broken rules in full (2)";
+  --seconds   prints the owner's stats second by second
+  --measure   compares the scheduler's measured time with the cost model
+  --broken N  prints the first N violations of rules in full (default 2)";
 
-struct PlayChoice {
+struct EmulateOptions {
     site: String,
     day: String,
     first: u64,
@@ -32,13 +32,13 @@
     let (first, last) = text.split_once(':').unwrap_or((text, text));
     let number = |text: &str| {
         text.parse()
-            .map_err(|_| lexopt::Error::from("a seed is a number"))
+            .map_err(|_| lexopt::Error::from("a seed must be a non-negative integer"))
     };
     Ok((number(first)?, number(last)?))
 }
 
-fn parse_arguments() -> Result<Option<PlayChoice>, lexopt::Error> {
-    let mut choice = PlayChoice {
+fn parse_arguments() -> Result<Option<EmulateOptions>, lexopt::Error> {
+    let mut options = EmulateOptions {
         site: "auction".to_owned(),
         day: "burst".to_owned(),
         first: 1,
@@ -50,19 +50,19 @@
     let mut parser = Parser::from_env();
     while let Some(argument) = parser.next()? {
         match argument {
-            Arg::Long("site") => choice.site = parser.value()?.string()?,
-            Arg::Long("day") => choice.day = parser.value()?.string()?,
+            Arg::Long("site") => options.site = parser.value()?.string()?,
+            Arg::Long("day") => options.day = parser.value()?.string()?,
             Arg::Long("seeds") => {
-                (choice.first, choice.last) = parse_seeds(&parser.value()?.string()?)?;
+                (options.first, options.last) = parse_seeds(&parser.value()?.string()?)?;
             }
-            Arg::Long("seconds") => choice.seconds = true,
-            Arg::Long("measure") => choice.measure = true,
-            Arg::Long("broken") => choice.broken = parser.value()?.parse()?,
+            Arg::Long("seconds") => options.seconds = true,
+            Arg::Long("measure") => options.measure = true,
+            Arg::Long("broken") => options.broken = parser.value()?.parse()?,
             Arg::Long("help") => return Ok(None),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(Some(choice))
+    Ok(Some(options))
 }
 
 fn deployment(site: &str) -> Option<Deployment> {
@@ -76,7 +76,7 @@
 
 fn print_seconds(report: &SimulationReport) {
     println!(
-        "second host epoch  cpu  kbit late_ms  jobs waiting  runs open serving over filling slowed"
+        "second host epoch  cpu  kbit wait_ms  jobs waiting  runs open serving over filling slowed"
     );
     for row in &report.seconds {
         let counts = &row.counts;
@@ -87,7 +87,7 @@
             row.epoch,
             row.processor_millis,
             row.read_kbit,
-            row.late_ms,
+            row.wait_ms,
             counts.jobs,
             counts.waiting,
             counts.runs,
@@ -105,7 +105,7 @@
     let measured: f64 = steps.iter().map(|step| step.took_us).sum();
     let costs: f64 = steps.iter().map(|step| step.costs_us as f64).sum();
     println!(
-        "scheduler: {} steps, {:.2} s measured, {:.2} s by its costs",
+        "scheduler: {} steps, {:.2} s measured, {:.2} s by the cost model",
         steps.len(),
         measured / 1e6,
         costs / 1e6
@@ -116,12 +116,12 @@
 }
 
 fn main() -> ExitCode {
-    let choice = match parse_arguments() {
-        Ok(Some(choice)) => choice,
+    let options = match parse_arguments() {
+        Ok(Some(options)) => options,
         Ok(None) => {
             println!("{USAGE}\ndays:");
-            for (name, what) in DAYS {
-                println!("  {name}: {what}");
+            for (name, description) in DAYS {
+                println!("  {name}: {description}");
             }
             return ExitCode::SUCCESS;
         }
@@ -130,40 +130,40 @@
             return ExitCode::from(2);
         }
     };
-    let plan = deployment(&choice.site).and_then(|site| day(&choice.day, site));
+    let plan = deployment(&options.site).and_then(|site| day(&options.day, site));
     let Some(plan) = plan else {
-        eprintln!("no such site or day\n{USAGE}");
+        eprintln!("unknown site or day\n{USAGE}");
         return ExitCode::from(2);
     };
-    let mut sound = true;
-    for seed in choice.first..=choice.last {
-        let began = Instant::now();
+    let mut all_rules_hold = true;
+    for seed in options.first..=options.last {
+        let started_at = Instant::now();
         let mut world = EmulatedWorld::new(seed, plan.clone());
-        if choice.measure {
+        if options.measure {
             world.measure_scheduler();
         }
-        world.play();
+        world.run();
         let report = world.report();
         println!(
             "{} {} seed {seed}, {:.1} s",
-            choice.site,
-            choice.day,
-            began.elapsed().as_secs_f64()
+            options.site,
+            options.day,
+            started_at.elapsed().as_secs_f64()
         );
         println!("{report}");
-        if choice.seconds {
+        if options.seconds {
             print_seconds(&report);
         }
-        if choice.measure {
+        if options.measure {
             print_measured(&report);
         }
-        for (at, rule, what) in report.broken.iter().take(choice.broken) {
+        for (at, rule, what) in report.broken.iter().take(options.broken) {
             let what: String = what.chars().take(400).collect();
             println!("  {at} {rule:?}: {what}");
         }
-        sound &= report.broken.is_empty();
+        all_rules_hold &= report.broken.is_empty();
     }
-    if sound {
+    if all_rules_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,44 +1,44 @@
-//! Days to be played: a deployment, how long callers hand jobs in, and what goes wrong when.
+//! Scenarios ("days") to simulate: a deployment, how long callers submit jobs, and when which faults occur.
 
 use sandshelf_model::Millis;
 
 use crate::deployment::Deployment;
 
-/// Which hosts something strikes.
+/// Which hosts an event affects. Only running hosts are selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostChoice {
-    /// All that run.
+    /// All of them.
     All,
-    /// The one that owns the shard, as the store has it.
+    /// The owner of the shard according to the store.
     Owner,
-    /// All strong ones.
+    /// All strong hosts.
     Strong,
-    /// So many of a hundred, drawn at random.
+    /// This percentage of them, rounded up, chosen at random.
     Percent(usize),
 }
 
-/// Which hall something strikes.
+/// Which hall an event affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HallChoice {
-    /// The one in which the shard's owner stands, as the store has it.
+    /// The hall of the shard's owner according to the store.
     Owner,
-    /// The one with a number, counted from 0.
+    /// The hall with this number, counted from 0.
     Number(usize),
 }
 
-/// Which way nothing passes between a hall and everything outside.
+/// In which direction messages between a hall and everything outside are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutDirection {
-    /// Nothing gets out.
+    /// Messages that leave the hall.
     Outward,
-    /// Nothing gets in.
+    /// Messages that enter the hall.
     Inward,
-    /// Neither way.
+    /// Messages in both directions.
     Both,
 }
 
 impl CutDirection {
-    /// Whether a hall that is cut off this way stops what goes from one place to another, each a hall or, with none, outside of all of them.
+    /// Whether a cut of `hall` in this direction stops messages from `from` to `to`; `None` is outside of all halls.
     pub fn stops(self, hall: usize, from: Option<usize>, to: Option<usize>) -> bool {
         let outward = from == Some(hall) && to != Some(hall);
         let inward = from != Some(hall) && to == Some(hall);
@@ -50,58 +50,58 @@
     }
 }
 
-/// What goes wrong, or is planned.
+/// A fault or a planned change. A field of type `Millis` is a duration in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DayEvent {
-    /// Processes are killed and started again after so long.
+    /// The processes of hosts are killed, and restarted after this time.
     Kill(HostChoice, Millis),
-    /// Hosts are without power for so long.
+    /// Hosts lose power, and restart after this time.
     PowerOff(HostChoice, Millis),
-    /// Hosts are lost for good.
+    /// Hosts are lost permanently.
     Remove(HostChoice),
-    /// Hosts stand still for so long.
+    /// Hosts do no work for this time.
     Freeze(HostChoice, Millis),
-    /// Hosts work so many times slower for so long.
+    /// Hosts work slower by this factor for this time.
     SlowHosts(HostChoice, u64, Millis),
-    /// All open connections of hosts fall silent; new ones work.
+    /// All open connections of hosts become silent; new ones work.
     SilentConnections(HostChoice),
-    /// A hall is cut off from the others and from the store for so long.
+    /// A hall is cut off from the other halls and from the store for this time.
     CutHall(HallChoice, CutDirection, Millis),
-    /// The store answers nobody for so long.
+    /// The store answers no call for this time.
     StoreSilent(Millis),
-    /// The store takes so many times as long for so long.
+    /// The store takes longer by this factor for this time.
     StoreSlow(u64, Millis),
-    /// A configuration with so many more routes.
+    /// A new configuration with this number of additional routes.
     Configure(usize),
-    /// So many times the traffic, in hundredths, of a class for so long.
+    /// The class with this index has this percentage of its usual traffic for this time.
     Burst(usize, u32, Millis),
-    /// So many of a thousand orders get no answer and are carried out seconds later, for so long.
+    /// For this time, this number of a thousand orders get no answer and are carried out seconds later.
     LateOrders(u32, Millis),
-    /// All runs of so many filling images fail for so long.
+    /// All runs of this number of filling images fail for this time.
     FailingImages(usize, Millis),
-    /// The workers of so many racks crash and start again after so long.
-    RacksDie(usize, Millis),
-    /// So many of a hundred workers go down and start again under their names, at most so long later.
+    /// The workers of this number of racks crash, and are replaced after this time.
+    RacksCrash(usize, Millis),
+    /// This percentage of the workers goes down; they restart under their names within this time.
     WorkersRestart(usize, Millis),
-    /// So many workers say that they leave, serve on for a while and are gone.
+    /// This number of workers drain: they announce that they leave, keep running tasks for a while, and are gone.
     ScaleIn(usize),
-    /// So many workers take orders in without an answer for so long.
+    /// This number of workers carry out orders without an answer for this time.
     WorkersHang(usize, Millis),
 }
 
-/// A day to be played.
+/// A scenario to simulate.
 #[derive(Clone, Debug)]
 pub struct DayPlan {
-    /// Where.
+    /// The emulated platform.
     pub deployment: Deployment,
-    /// How long callers hand jobs in.
+    /// How long callers submit jobs, in milliseconds.
     pub length_ms: Millis,
-    /// What goes wrong, by milliseconds since the start of the traffic.
+    /// The events, each with its time in milliseconds since the start of the traffic.
     pub events: Vec<(Millis, DayEvent)>,
 }
 
 impl DayPlan {
-    /// A day on which nothing goes wrong.
+    /// A day without events.
     pub fn calm(deployment: Deployment, length_ms: Millis) -> Self {
         Self {
             deployment,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The same day with something more.
+    /// The same day with one more event, `at` milliseconds after the start of the traffic.
     pub fn with(mut self, at: Millis, event: DayEvent) -> Self {
         self.events.push((at, event));
         self
--- a/crates/emulator/src/days.rs
+++ b/crates/emulator/src/days.rs
@@ -1,50 +1,50 @@
-//! Days that are played again and again, by name.
+//! The named days, which are simulated regularly.
 
 use crate::day::{CutDirection, DayEvent, DayPlan, HallChoice, HostChoice};
 use crate::deployment::{Deployment, WEAK_HOST};
 
-/// The class of filling jobs, whose traffic bursts.
+/// The index of the class of filling jobs, which has the bursts of traffic.
 const FILLING_CLASS: usize = 1;
 
-/// Names of days with what they are for.
+/// The names of the days, each with a description.
 pub const DAYS: [(&str, &str); 16] = [
     ("calm", "nothing goes wrong"),
-    ("burst", "a strong owner under the burst, many orders late"),
-    ("long-burst", "2.6 times the filling jobs for 12 s"),
-    ("weak", "only weak hosts, burst included"),
+    ("burst", "a burst of filling jobs with a strong owner; many orders are late"),
+    ("long-burst", "2.6 times the usual rate of filling jobs for 12 s"),
+    ("weak", "only weak hosts, with a burst of filling jobs"),
     (
         "weak-left",
-        "the strong hosts are lost for good before the burst",
+        "the strong hosts are lost permanently before the burst",
     ),
-    ("lost", "all hosts killed at once"),
+    ("lost", "all hosts are killed at the same time"),
     (
         "lost-twice",
-        "all hosts killed at once, and once more soon after",
+        "all hosts are killed at the same time, and lose power soon after",
     ),
-    ("restart", "the owner is killed and started again at once"),
-    ("owners", "owners killed in series beside dead racks"),
-    ("herds", "six of ten hosts killed, four times in a row"),
-    ("images", "all tasks of some images fail, orders are late"),
+    ("restart", "the owner is killed and restarted immediately"),
+    ("owners", "owners are killed one after the other while racks crash"),
+    ("herds", "60 percent of the hosts are killed, four times in a row"),
+    ("images", "all runs of some filling images fail, and orders are late"),
     (
         "silent",
-        "all open connections of all hosts fall silent, twice",
+        "all open connections of all hosts become silent, twice",
     ),
     (
         "large",
-        "the configuration grows by 1,400 routes twice, and all hosts are started again",
+        "the configuration grows by 1,400 routes twice, and all hosts are restarted",
     ),
     ("storm", "large configurations in quick succession"),
     (
         "restarts",
-        "a third of the workers start again under their names, time and again, also as the owner dies",
+        "a third of the workers restart under their names several times, also while the owner is killed",
     ),
     (
         "cuts",
-        "the owner's hall is cut off, outward, inward, outward again in the burst, and both ways",
+        "the owner's hall is cut off outward, inward and outward again, and another hall in both directions",
     ),
 ];
 
-/// A day by its name, on a deployment.
+/// The day with this name on a deployment; `None` for an unknown name.
 pub fn day(name: &str, deployment: Deployment) -> Option<DayPlan> {
     let length = match name {
         "lost" | "lost-twice" => 42_000,
@@ -85,10 +85,10 @@
             .with(18_000, DayEvent::Kill(HostChoice::All, 500))
             .with(22_000, DayEvent::PowerOff(HostChoice::All, 1_500)),
         "owners" => burst_day(calm, 6_000)
-            .with(10_000, DayEvent::RacksDie(3, 4_000))
+            .with(10_000, DayEvent::RacksCrash(3, 4_000))
             .with(10_300, DayEvent::Kill(HostChoice::Owner, 3_000))
             .with(14_000, DayEvent::Kill(HostChoice::Owner, 3_000))
-            .with(17_500, DayEvent::RacksDie(2, 6_000))
+            .with(17_500, DayEvent::RacksCrash(2, 6_000))
             .with(18_000, DayEvent::Kill(HostChoice::Owner, 3_000))
             .with(21_500, DayEvent::Kill(HostChoice::Owner, 3_000)),
         "herds" => [10_300, 14_000, 18_000, 21_500]
--- a/crates/emulator/src/deployment.rs
+++ b/crates/emulator/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that are played: how many workers and hosts of which kind, and what is handed in.
+//! The emulated deployments: number and kind of workers and hosts, and the jobs that callers submit.
 
 use sandshelf_jobs::{JobSpec, QueueRules, StepSpec};
 use sandshelf_model::{Millis, ResourceSize};
@@ -6,64 +6,64 @@
 use crate::host::{HostFault, HostModel, TransferLimit};
 use crate::oracle::RuleBounds;
 
-/// A strong host: half a core and 200 Mbit/s.
+/// A strong host: half a processor core and a link of 200 Mbit/s.
 pub const STRONG_HOST: HostModel = HostModel {
     processor_millis: 500,
     link_kbit_per_s: 200_000,
     config_limit: TransferLimit::Whole(500),
     fault: HostFault::None,
 };
-/// A weak host: 0.12 of a core and 10 Mbit/s.
+/// A weak host: 0.12 of a processor core and a link of 10 Mbit/s.
 pub const WEAK_HOST: HostModel = HostModel {
     processor_millis: 120,
     link_kbit_per_s: 10_000,
     ..STRONG_HOST
 };
 
-/// One kind of jobs.
+/// A class of similar jobs.
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// The queue.
+    /// The queue that the jobs are submitted to.
     pub queue: &'static str,
-    /// The queue's rules, without the service.
+    /// The rules of the queue; the service in them is the same for all classes.
     pub rules: QueueRules,
-    /// How many are handed in each second.
+    /// The mean number of jobs submitted per second.
     pub per_s: f64,
-    /// How many are there from the start.
-    pub filled: usize,
-    /// How many steps a job has in the mean; fractions are drawn.
+    /// How many jobs are submitted before the traffic starts.
+    pub initial_jobs: usize,
+    /// The mean number of steps of a job: the whole part, and one more with the probability of the fraction.
     pub steps: f64,
-    /// How many tasks a step has in the mean.
+    /// The mean number of tasks of a step.
     pub width: f64,
-    /// How long a task works in the mean.
+    /// The mean run time of a task at full pace, in milliseconds.
     pub work_ms: Millis,
-    /// What a task asks for.
+    /// The size that a task asks for.
     pub size: ResourceSize,
-    /// How many images there are; none where the tasks have none.
+    /// The number of different images; 0 where the tasks have none.
     pub images: usize,
-    /// What kind of tasks these are.
+    /// The kind of the tasks.
     pub kind: TaskKind,
-    /// How many of a thousand runs fail.
+    /// The number of failing runs per thousand.
     pub failing: u64,
-    /// How many of a hundred jobs are cancelled.
+    /// The share of jobs that their callers cancel, in percent.
     pub cancelled_percent: u32,
-    /// How long the text for the tasks is, in bytes.
-    pub text_bytes: usize,
+    /// The length of a job's payload, in bytes.
+    pub payload_bytes: usize,
 }
 
-/// How the tasks of a class work.
+/// The kind of the tasks of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskKind {
-    /// They take their processors and end.
+    /// Tasks that use the processors they ask for, and end.
     Ordinary,
-    /// They take what others leave, and end.
+    /// Filling tasks, which use the processors that others leave free, and end.
     Filling,
-    /// They serve until their job is cancelled, with their tail under so many milliseconds.
+    /// Tasks that serve until their job is cancelled; the value is their target for tail latency, in milliseconds.
     Serving(Millis),
 }
 
 impl JobClass {
-    /// A step of this class.
+    /// The step of a job with this index; it depends on the step before it.
     pub fn step(&self, index: usize, count: u32, image: usize) -> StepSpec {
         let (prefix, target_ms) = match self.kind {
             TaskKind::Ordinary => ("", 0),
@@ -85,12 +85,12 @@
         }
     }
 
-    /// A job of this class.
+    /// A job of this class, submitted at `handed_in_ms` (milliseconds since 1970).
     pub fn job(&self, steps: Vec<StepSpec>, handed_in_ms: Millis) -> JobSpec {
         JobSpec {
             queue: self.queue.to_owned(),
             rules: self.rules.clone(),
-            payload: "t".repeat(self.text_bytes),
+            payload: "t".repeat(self.payload_bytes),
             steps,
             handed_in_ms,
             repeat: None,
@@ -109,44 +109,44 @@
     }
 }
 
-/// What is played.
+/// A deployment of the platform.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The hosts.
+    /// The resources of each host.
     pub hosts: Vec<HostModel>,
-    /// How many workers there are.
+    /// The number of workers.
     pub workers: usize,
-    /// What a worker has; every third has half as much again.
+    /// The capacity of a worker; every third worker has 1.5 times as much.
     pub worker_size: ResourceSize,
-    /// How many workers share a rack.
-    pub rack: usize,
-    /// The longest lease that a worker grants.
+    /// The number of workers that share a rack.
+    pub rack_size: usize,
+    /// The longest lease that a worker grants, in milliseconds.
     pub max_lease_ms: Millis,
-    /// How long the loads of serving tasks take for a swing.
+    /// The period in which the loads of serving tasks rise and fall, in milliseconds.
     pub swing_ms: Millis,
-    /// How many routes the configuration has at first.
+    /// The number of routes in the first configuration.
     pub routes: usize,
-    /// What is handed in.
+    /// The classes of jobs that callers submit.
     pub classes: Vec<JobClass>,
-    /// The bounds that hold.
+    /// The time limits of the rules.
     pub bounds: RuleBounds,
 }
 
 fn hosts(strong: usize, weak: usize) -> Vec<HostModel> {
-    // The platform names hosts hall by hall; strong ones come first in each.
+    // The platform names hosts hall by hall, and strong hosts come first in each hall.
     let mut hosts = vec![STRONG_HOST; strong];
     hosts.extend(vec![WEAK_HOST; weak]);
     hosts
 }
 
 impl Deployment {
-    /// The grown auction: 490 workers, 8 strong hosts and 24 weak ones.
+    /// The large auction deployment: 490 workers, 8 strong hosts and 24 weak ones.
     pub fn auction() -> Self {
         Self {
             hosts: hosts(8, 24),
             workers: 490,
             worker_size: ResourceSize::new(16_000, 64_000, 0),
-            rack: 12,
+            rack_size: 12,
             max_lease_ms: 6_000,
             swing_ms: 14_000,
             routes: 43,
@@ -155,7 +155,7 @@
                     queue: "pricing",
                     rules: rules(0, 3, 1.5, 250),
                     per_s: 10.7,
-                    filled: 0,
+                    initial_jobs: 0,
                     steps: 1.6,
                     width: 9.5,
                     work_ms: 1_000,
@@ -164,13 +164,13 @@
                     kind: TaskKind::Ordinary,
                     failing: 20,
                     cancelled_percent: 0,
-                    text_bytes: 500,
+                    payload_bytes: 500,
                 },
                 JobClass {
                     queue: "settlement",
                     rules: rules(2, 4, 2.0, 1_000),
                     per_s: 19.6,
-                    filled: 43,
+                    initial_jobs: 43,
                     steps: 2.0,
                     width: 20.0,
                     work_ms: 2_200,
@@ -179,13 +179,13 @@
                     kind: TaskKind::Filling,
                     failing: 20,
                     cancelled_percent: 5,
-                    text_bytes: 150,
+                    payload_bytes: 150,
                 },
                 JobClass {
                     queue: "watch",
                     rules: rules(0, 2, 2.2, 2_500),
                     per_s: 0.908,
-                    filled: 163,
+                    initial_jobs: 163,
                     steps: 1.0,
                     width: 14.0,
                     work_ms: 500,
@@ -194,76 +194,76 @@
                     kind: TaskKind::Serving(50),
                     failing: 30,
                     cancelled_percent: 0,
-                    text_bytes: 150,
+                    payload_bytes: 150,
                 },
             ],
-            bounds: RuleBounds::GROWN,
+            bounds: RuleBounds::LARGE,
         }
     }
 
-    /// The grown code search: 350 larger workers, 8 strong hosts and 32 weak ones.
+    /// The large code-search deployment: 350 larger workers, 8 strong hosts and 32 weak ones.
     pub fn code_search() -> Self {
-        let mut grown = Self {
+        let mut large = Self {
             hosts: hosts(8, 32),
             workers: 350,
             worker_size: ResourceSize::new(64_000, 256_000, 0),
-            rack: 8,
+            rack_size: 8,
             max_lease_ms: 10_000,
             swing_ms: 20_000,
             ..Self::auction()
         };
-        let lookup = &mut grown.classes[0];
+        let lookup = &mut large.classes[0];
         lookup.queue = "lookup";
         lookup.per_s = 13.3;
         lookup.work_ms = 800;
         lookup.size = ResourceSize::new(8_100, 16_000, 0);
         lookup.failing = 5;
-        let reindex = &mut grown.classes[1];
+        let reindex = &mut large.classes[1];
         reindex.queue = "reindex";
         reindex.rules.max_attempts = 2;
         reindex.per_s = 14.4;
-        reindex.filled = 32;
+        reindex.initial_jobs = 32;
         reindex.size = ResourceSize::new(7_000, 13_000, 0);
         reindex.failing = 5;
-        reindex.text_bytes = 500;
-        let crawl = &mut grown.classes[2];
+        reindex.payload_bytes = 500;
+        let crawl = &mut large.classes[2];
         crawl.queue = "crawl";
         crawl.rules.max_attempts = 4;
         crawl.per_s = 0.65;
-        crawl.filled = 117;
+        crawl.initial_jobs = 117;
         crawl.size = ResourceSize::new(13_000, 26_000, 0);
         crawl.kind = TaskKind::Serving(125);
-        crawl.text_bytes = 1_200;
-        grown
+        crawl.payload_bytes = 1_200;
+        large
     }
 
-    /// The auction as small as it was: 66 workers, 6 hosts of a quarter of a core; for tests that are to be quick.
+    /// A small auction deployment for quick tests: 66 workers, and 6 hosts with a quarter of a processor core each.
     pub fn small() -> Self {
-        let middling = HostModel {
+        let medium_host = HostModel {
             processor_millis: 250,
             link_kbit_per_s: 1_000_000,
             ..STRONG_HOST
         };
         let mut small = Self {
-            hosts: vec![middling; 6],
+            hosts: vec![medium_host; 6],
             workers: 66,
             bounds: RuleBounds::SMALL,
             ..Self::auction()
         };
         for class in &mut small.classes {
             class.per_s *= 66.0 / 490.0;
-            class.filled = class.filled * 66 / 490;
+            class.initial_jobs = class.initial_jobs * 66 / 490;
         }
         small
     }
 
-    /// The same with something else about each host.
+    /// The same deployment with a change to each host.
     pub fn with_each_host(mut self, change: impl Fn(&mut HostModel)) -> Self {
         self.hosts.iter_mut().for_each(change);
         self
     }
 
-    /// The same with other hosts.
+    /// The same deployment with other hosts.
     pub fn with_hosts(self, hosts: Vec<HostModel>) -> Self {
         Self { hosts, ..self }
     }
--- a/crates/emulator/src/oracle/idle.rs
+++ b/crates/emulator/src/oracle/idle.rs
@@ -23,9 +23,9 @@
 impl OpenJob {
     /// A newly submitted job; `None` where it has standing tasks or is repeated.
     pub(super) fn new(spec: &JobSpec) -> Option<Self> {
-        let stands = spec.steps.iter().any(|step| step.standing);
+        let has_standing_tasks = spec.steps.iter().any(|step| step.standing);
         let unfinished = spec.steps.iter().map(|step| step.count as usize);
-        (!stands && spec.repeat.is_none()).then(|| Self {
+        (!has_standing_tasks && spec.repeat.is_none()).then(|| Self {
             live: 0,
             unfinished: unfinished.sum(),
             idle: 0,
@@ -61,7 +61,7 @@
             if job.idle <= elapsed {
                 continue;
             }
-            let next = next_room(*number, &self.jobs[number], &self.done);
+            let next = next_task_size(*number, &self.jobs[number], &self.done);
             if !next.is_some_and(|next| room.has_twice(&next)) {
                 job.idle = 0;
                 continue;
@@ -82,7 +82,7 @@
 }
 
 /// The size of the first task that is not done; the steps before its own are done, since no task of the job is running.
-fn next_room(
+fn next_task_size(
     number: JobNumber,
     spec: &JobSpec,
     done: &std::collections::BTreeSet<TaskKey>,
--- a/crates/emulator/src/oracle/mod.rs
+++ b/crates/emulator/src/oracle/mod.rs
@@ -59,7 +59,7 @@
     };
 
     /// The limits for the large deployments.
-    pub const GROWN: Self = Self {
+    pub const LARGE: Self = Self {
         cancel_ms: 4_000,
         config_ms: 3_000,
         contact_ms: 4_000,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What is told of a play.
+//! The report of a simulation: call counts, owners, outages and broken rules.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,62 +11,62 @@
 use crate::oracle::BrokenRule;
 use crate::queue::Micros;
 
-/// One second of an owner.
+/// The stats of an owner in one second.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerSecond {
-    /// Which second of the traffic; before it, less than 0.
+    /// The second, counted from the start of the traffic; negative before it.
     pub second: i64,
-    /// The host.
+    /// The index of the owner's host.
     pub host: usize,
-    /// Its epoch.
+    /// The owner's epoch.
     pub epoch: u64,
-    /// What it used of a core, in thousandths.
+    /// The processor time that it used, in thousandths of a core.
     pub processor_millis: u64,
-    /// What it read over its link, in thousands of bits.
+    /// What it received over its link, in kilobits.
     pub read_kbit: u64,
-    /// How long what came in now would wait for the processor.
-    pub late_ms: Millis,
-    /// What its scheduler counts.
+    /// How long a work item that arrived now would wait for the processor, in milliseconds.
+    pub wait_ms: Millis,
+    /// The counts of its scheduler.
     pub counts: SchedulerCounts,
 }
 
-/// One owner from its claim on; times are those of the traffic, in milliseconds.
+/// One takeover of the shard by a new owner.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerTakeover {
-    /// Its epoch.
+    /// The new owner's epoch.
     pub epoch: u64,
-    /// The host.
+    /// The index of its host.
     pub host: usize,
-    /// When it had read what it takes over.
+    /// When it had read the state that it takes over, in milliseconds since the start of the traffic.
     pub owned_ms: i64,
-    /// How long after its claim that was.
+    /// How long after its claim that was, in milliseconds.
     pub took_ms: Millis,
-    /// How long it then waited for workers.
+    /// How long it then waited for workers, in milliseconds; `None` while it still waits.
     pub waited_ms: Option<Millis>,
 }
 
-/// When all hosts were lost, and when the last of them was back.
+/// An outage of all hosts; times are in milliseconds since the start of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct HostOutage {
-    /// When the last was lost.
+    /// When the last host was lost.
     pub lost_ms: Millis,
-    /// When the last was back.
+    /// When the last host was back; until all are, when the latest one was, and `None` while none is.
     pub back_ms: Option<Millis>,
 }
 
-/// How many calls hosts made, by kind.
+/// The calls that hosts made, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Holds.
-    pub holds: usize,
-    /// Orders to start.
+    /// Lease renewals.
+    pub renewals: usize,
+    /// Orders to start a run.
     pub starts: usize,
-    /// Orders to stop.
+    /// Orders to stop a run.
     pub stops: usize,
-    /// Changes of pace.
+    /// Orders to change the pace of a run.
     pub paces: usize,
     /// Calls to the store.
-    pub asks: usize,
+    pub store_calls: usize,
     /// New connections.
     pub connections: usize,
     /// Bytes to and from workers.
@@ -75,63 +75,63 @@
     pub store_bytes: u64,
 }
 
-/// What is told of a play.
+/// The report of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationReport {
-    /// How many calls hosts made.
+    /// The calls that hosts made.
     pub calls: CallCounts,
-    /// For how long nothing may have been disturbed for rules with a time bound.
+    /// How long there must have been no disturbance before rules with a time limit apply, in milliseconds.
     pub contact_ms: Millis,
-    /// How long the play was, in seconds.
-    pub seconds_played: u64,
-    /// How many runs were ordered and how many began.
+    /// The simulated time, in seconds.
+    pub simulated_s: u64,
+    /// How many starts of runs owners decided on.
     pub placed: usize,
-    /// How many began.
+    /// How many runs started.
     pub starts: usize,
-    /// Orders to start that came too late for the worker.
+    /// Orders to start that workers refused because they arrived after their deadline.
     pub refused_late: usize,
-    /// Orders to start for which there was no room.
+    /// Orders to start that workers refused for lack of free capacity.
     pub refused_room: usize,
-    /// Orders to start that were refused for other causes.
-    pub refused_else: usize,
+    /// Orders to start that were refused for other reasons.
+    pub refused_other: usize,
     /// Orders to start without an answer.
     pub unanswered: usize,
-    /// How often a worker counted as silent.
+    /// How many times a worker became silent.
     pub silent: usize,
-    /// How many paces were set.
+    /// How many changes of pace owners decided on.
     pub paced: usize,
-    /// Owners, one after the other.
+    /// The takeovers, in order.
     pub takeovers: Vec<OwnerTakeover>,
-    /// Seconds of owners.
+    /// The stats of the newest owner, second by second.
     pub seconds: Vec<OwnerSecond>,
-    /// When all hosts were lost.
-    pub losses: Vec<HostOutage>,
-    /// Of each host: the core's time used, and bytes read and sent.
+    /// The outages of all hosts.
+    pub outages: Vec<HostOutage>,
+    /// For each host: the used time of a processor core in microseconds, and the bytes received and sent.
     pub hosts: Vec<(Micros, u64, u64)>,
-    /// How many of a hundred requests were served.
+    /// The share of requests that were served, in percent.
     pub served_percent: usize,
-    /// The longest that a standing task was away where that counts.
+    /// The longest counted time that a standing task did not run, in milliseconds.
     pub longest_away_ms: Millis,
-    /// The longest that nothing of a job was at work where that counts.
+    /// The longest counted time that a job was idle, in milliseconds.
     pub longest_idle_ms: Millis,
-    /// The longest that a configuration took to a host in touch.
+    /// The longest time until a configuration was in force on a host in touch, in milliseconds.
     pub longest_config_ms: Millis,
-    /// The longest that a task of a cancelled job was at work in calm.
+    /// The longest time without disturbances that a task of a cancelled job ran, in milliseconds.
     pub longest_stop_ms: Millis,
-    /// What was broken.
+    /// The broken rules: time in milliseconds, rule, and description.
     pub broken: Vec<(Millis, BrokenRule, String)>,
-    /// Steps of schedulers as they were measured.
+    /// The measured steps of schedulers; empty unless the measurement was turned on.
     pub scheduler_steps: Vec<MeasuredStep>,
 }
 
 impl CallCounts {
-    /// Counts a call that leaves.
+    /// Counts a call and its bytes.
     pub fn note(&mut self, body: &CallBody, bytes: u64) {
         let (count, sum) = match body {
-            CallBody::Ask(_) => (&mut self.asks, &mut self.store_bytes),
+            CallBody::Ask(_) => (&mut self.store_calls, &mut self.store_bytes),
             CallBody::Order(order) => {
                 let count = match order.call {
-                    WorkerCall::Renew(_) => &mut self.holds,
+                    WorkerCall::Renew(_) => &mut self.renewals,
                     WorkerCall::Start(_) => &mut self.starts,
                     WorkerCall::Stop(_) => &mut self.stops,
                     WorkerCall::Pace(..) => &mut self.paces,
@@ -143,7 +143,7 @@
         *sum += bytes;
     }
 
-    /// Counts an answer.
+    /// Counts the bytes of an answer.
     pub fn note_answer(&mut self, answer: &CallAnswer, bytes: u64) {
         match answer {
             CallAnswer::Worker(_) => self.worker_bytes += bytes,
@@ -153,7 +153,7 @@
 }
 
 impl SimulationReport {
-    /// How often each rule was broken.
+    /// The number of violations of each rule.
     pub fn broken_by_rule(&self) -> BTreeMap<BrokenRule, usize> {
         let mut counts = BTreeMap::new();
         for (_, rule, _) in &self.broken {
@@ -162,11 +162,12 @@
         counts
     }
 
-    /// The busiest host: its number, what it used of a core in the mean, in thousandths, and what it read a second.
+    /// The host that used most processor time: its index, its mean use in thousandths of a core, and the bytes that it
+    /// received per second.
     pub fn busiest(&self) -> (usize, u64, u64) {
         let all = self.hosts.iter().enumerate();
         let busiest = all.max_by_key(|(_, (used, ..))| *used);
-        let seconds = self.seconds_played.max(1);
+        let seconds = self.simulated_s.max(1);
         busiest.map_or((0, 0, 0), |(host, (used, read, _))| {
             (host, used / 1_000 / seconds, read / seconds)
         })
@@ -178,25 +179,25 @@
         let (host, used, read) = self.busiest();
         writeln!(
             formatter,
-            "served {} %; {} starts of {} orders ({} late, {} no room, {} unanswered, {} else), {} paces, {} times silent",
+            "served {} %; {} starts of {} orders ({} late, {} no room, {} unanswered, {} other), {} paces, {} times silent",
             self.served_percent,
             self.starts,
             self.placed,
             self.refused_late,
             self.refused_room,
             self.unanswered,
-            self.refused_else,
+            self.refused_other,
             self.paced,
             self.silent
         )?;
         writeln!(
             formatter,
-            "busiest host {host}: {used} thousandths of a core, {} KB read a second",
+            "busiest host {host}: {used} thousandths of a core, {} KB received per second",
             read / 1_000
         )?;
         writeln!(
             formatter,
-            "away {} ms, idle {} ms, configuration {} ms, stop {} ms at most",
+            "longest: standing task not running {} ms, job idle {} ms, configuration {} ms, stop {} ms",
             self.longest_away_ms,
             self.longest_idle_ms,
             self.longest_config_ms,
@@ -204,12 +205,12 @@
         )?;
         writeln!(formatter, "{:?}", self.calls)?;
         let used: Micros = self.hosts.iter().map(|(used, ..)| *used).sum();
-        writeln!(formatter, "all hosts {:.1} s of a core", used as f64 / 1e6)?;
-        for seen in &self.takeovers {
-            writeln!(formatter, "{seen:?}")?;
+        writeln!(formatter, "all hosts: {:.1} s of a core", used as f64 / 1e6)?;
+        for takeover in &self.takeovers {
+            writeln!(formatter, "{takeover:?}")?;
         }
-        for loss in &self.losses {
-            writeln!(formatter, "{loss:?}")?;
+        for outage in &self.outages {
+            writeln!(formatter, "{outage:?}")?;
         }
         write!(formatter, "broken: {:?}", self.broken_by_rule())
     }
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers hand them in, drawn from a deployment's classes.
+//! Draws the jobs that callers submit from a deployment's classes.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::book::EmulatedJob;
 use crate::deployment::JobClass;
 
-/// The most tasks of a step, in terms of the mean.
-const MOST_WIDTH: f64 = 4.0;
+/// The highest number of tasks of a step, as a multiple of the mean.
+const MAX_WIDTH_RATIO: f64 = 4.0;
 
-/// The rules of so many queues that no job is handed in to; jobs bring their own rules.
+/// Rules for `routes` queues that get no jobs; each emulated job carries its own rules.
 pub fn queue_rules(routes: usize) -> BTreeMap<String, QueueRules> {
     let rules = QueueRules {
         service: "desk".to_owned(),
@@ -27,16 +27,16 @@
     names.map(|name| (name, rules.clone())).collect()
 }
 
-/// Draws a whole number about a mean, at least 1, skewed as widths of jobs are.
+/// Draws a number of tasks with a given mean, at least 1 and with the right-skewed distribution of real step widths.
 fn draw_count(mean: f64, random: &mut ChaCha8Rng) -> u32 {
-    // The sum of two exponential draws has the spread of the widths on the grown deployments.
+    // The sum of two exponential draws has the spread of the widths on the large deployments.
     let mut exponential = || -(1.0 - random.random::<f64>()).ln() * mean / 2.0;
     let drawn = exponential() + exponential();
-    drawn.clamp(1.0, mean * MOST_WIDTH).round() as u32
+    drawn.clamp(1.0, mean * MAX_WIDTH_RATIO).round() as u32
 }
 
 impl JobClass {
-    /// Draws a job of this class.
+    /// Draws a job of this class, submitted at a time in milliseconds since 1970.
     pub fn draw(&self, wall_ms: Millis, random: &mut ChaCha8Rng) -> EmulatedJob {
         let steps =
             self.steps.floor() as usize + usize::from(random.random_bool(self.steps.fract()));
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -81,7 +81,7 @@
         let job = self.deployment.classes[class].draw(wall_ms, &mut self.random);
         let number = JobNumber(mix(0x7061, self.callers.jobs.len() as u64));
         let spec = job.spec.clone();
-        self.book.add(number, job);
+        self.catalog.add(number, job);
         let submitted = SubmittedJob {
             number,
             class,
--- a/crates/emulator/src/world/cuts.rs
+++ b/crates/emulator/src/world/cuts.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HallCut {
     hall: usize,
-    way: CutDirection,
+    direction: CutDirection,
     until: Micros,
 }
 
@@ -46,13 +46,17 @@
         }
     }
 
-    pub(super) fn cut(&mut self, hall: usize, way: CutDirection, until: Micros) {
-        self.cuts.push(HallCut { hall, way, until });
+    pub(super) fn cut(&mut self, hall: usize, direction: CutDirection, until: Micros) {
+        self.cuts.push(HallCut {
+            hall,
+            direction,
+            until,
+        });
     }
 
     fn passes(&self, now: Micros, from: Option<usize>, to: Option<usize>) -> bool {
         let mut cuts = self.cuts.iter().filter(|cut| now < cut.until);
-        !cuts.any(|cut| cut.way.stops(cut.hall, from, to))
+        !cuts.any(|cut| cut.direction.stops(cut.hall, from, to))
     }
 
     /// The latest end of all cuts that have begun; `None` before the first.
--- a/crates/emulator/src/world/day_events.rs
+++ b/crates/emulator/src/world/day_events.rs
@@ -19,24 +19,26 @@
             DayEvent::Remove(choice) => self.remove_hosts(choice),
             DayEvent::Freeze(choice, for_ms) => {
                 let until = until(for_ms);
-                for host in self.chosen(choice) {
+                for host in self.select_hosts(choice) {
                     self.hosts[host].processor.stand_still(until);
                     self.monitor.disturb_host(host, until);
                 }
             }
             DayEvent::SlowHosts(choice, times, for_ms) => {
                 let until = until(for_ms);
-                for host in self.chosen(choice) {
+                for host in self.select_hosts(choice) {
                     self.hosts[host].processor.slow_down(times, until);
                     self.monitor.disturb_host(host, until);
                 }
             }
             DayEvent::SilentConnections(choice) => {
-                for host in self.chosen(choice) {
+                for host in self.select_hosts(choice) {
                     self.silence_host(host);
                 }
             }
-            DayEvent::CutHall(choice, way, for_ms) => self.cut_hall(choice, way, for_ms),
+            DayEvent::CutHall(choice, direction, for_ms) => {
+                self.cut_hall(choice, direction, for_ms)
+            }
             DayEvent::StoreSilent(for_ms) => {
                 self.store.silent_until = until(for_ms);
                 self.monitor.disturb_store(until(for_ms));
@@ -59,10 +61,10 @@
                 self.monitor.disturb_workers(until(for_ms));
             }
             DayEvent::FailingImages(count, for_ms) => {
-                self.book.failing_images = (0..count).collect();
+                self.catalog.failing_images = (0..count).collect();
                 self.queue.push(until(for_ms), WorldEvent::ImagesRecover);
             }
-            DayEvent::RacksDie(racks, down_ms) => self.kill_racks(racks, down_ms),
+            DayEvent::RacksCrash(racks, down_ms) => self.kill_racks(racks, down_ms),
             DayEvent::WorkersRestart(percent, down_ms) => self.restart_workers(percent, down_ms),
             DayEvent::ScaleIn(count) => {
                 for place in self.draw_workers(count) {
@@ -79,7 +81,7 @@
     }
 
     /// The running hosts that a choice selects, in order.
-    fn chosen(&mut self, choice: HostChoice) -> Vec<usize> {
+    fn select_hosts(&mut self, choice: HostChoice) -> Vec<usize> {
         let mut running: Vec<usize> = (0..self.hosts.len())
             .filter(|host| self.hosts[*host].up)
             .collect();
@@ -104,19 +106,19 @@
         running
     }
 
-    fn cut_hall(&mut self, choice: HallChoice, way: CutDirection, for_ms: Millis) {
+    fn cut_hall(&mut self, choice: HallChoice, direction: CutDirection, for_ms: Millis) {
         let until = self.now + for_ms * MS;
         let hall = match choice {
             HallChoice::Number(hall) => Some(hall),
             HallChoice::Owner => {
-                let owners = self.chosen(HostChoice::Owner);
+                let owners = self.select_hosts(HostChoice::Owner);
                 owners.first().map(|owner| self.halls.hall_of_host(*owner))
             }
         };
         let Some(hall) = hall else {
             return;
         };
-        self.halls.cut(hall, way, until);
+        self.halls.cut(hall, direction, until);
         self.monitor.disturb_workers(until);
         for host in 0..self.hosts.len() {
             if self.halls.hall_of_host(host) == hall {
@@ -126,7 +128,7 @@
     }
 
     fn kill_hosts(&mut self, choice: HostChoice, down_ms: Millis) {
-        for host in self.chosen(choice) {
+        for host in self.select_hosts(choice) {
             self.hosts[host].kill();
             self.monitor.host_lost(self.now, host);
             let at: Micros = self.now + down_ms * MS;
@@ -137,7 +139,7 @@
     }
 
     fn remove_hosts(&mut self, choice: HostChoice) {
-        for host in self.chosen(choice) {
+        for host in self.select_hosts(choice) {
             self.hosts[host].kill();
             self.monitor.host_removed(self.now, host);
         }
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -40,7 +40,7 @@
 /// A place in the platform for one worker at a time.
 #[derive(Debug)]
 struct WorkerPlace {
-    /// Counts the workers and restarts at this place.
+    /// Counts the workers that this place has lost.
     incarnation: u32,
     worker: Option<EmulatedWorker>,
     /// The worker's entry in the store's list, and until when it stays listed once the worker is gone.
@@ -68,7 +68,7 @@
         let mut fleet = Self {
             places: Vec::new(),
             incarnations: 0,
-            rack: deployment.rack,
+            rack: deployment.rack_size,
         };
         for place in 0..deployment.workers {
             let larger = place % 3 == 2;
@@ -209,7 +209,7 @@
             max_lease_ms: self.deployment.max_lease_ms,
             drain_ms: self.deployment.bounds.drain_ms,
             in_touch,
-            book: &self.book,
+            book: &self.catalog,
             interference: &self.interference,
             oracle: &mut self.oracle,
         };
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -103,7 +103,7 @@
     store: EmulatedStore,
     /// Feed calls that wait at the store for a change.
     parked: Vec<(HostIncarnation, u64, StoreAsk)>,
-    book: JobBook,
+    catalog: JobBook,
     interference: InterferenceModel,
     callers: CallerState,
     monitor: SimulationMonitor,
@@ -147,7 +147,7 @@
             fleet: WorkerFleet::new(&deployment, &mut random),
             store: EmulatedStore::default(),
             parked: Vec::new(),
-            book: JobBook::new(seed),
+            catalog: JobBook::new(seed),
             interference,
             callers: CallerState::default(),
             monitor: SimulationMonitor::new(&deployment),
@@ -171,7 +171,7 @@
             self.queue.push(at, WorldEvent::HostStarts(host));
         }
         for (index, class) in self.deployment.classes.iter().enumerate() {
-            for number in 0..class.filled {
+            for number in 0..class.initial_jobs {
                 let at = (INITIAL_JOBS_AT_MS + number as u64 * 5) * MS;
                 self.queue.push(at, WorldEvent::InitialJob(index));
             }
@@ -193,7 +193,7 @@
     }
 
     /// Runs the simulation to the end of the day.
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         while let Some((at, event)) = self.queue.pop_until(self.ends_at) {
             self.now = at;
             self.handle_event(event);
@@ -209,10 +209,10 @@
     fn handle_event(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::HostTurn(incarnation) if self.is_current(incarnation) => {
-                self.turn(incarnation)
+                self.run_turn(incarnation)
             }
             WorldEvent::HostReceives(incarnation, item) if self.is_current(incarnation) => {
-                self.reach(incarnation, item)
+                self.enqueue_item(incarnation, item)
             }
             WorldEvent::HostActs(incarnation, action) if self.is_current(incarnation) => {
                 self.act(incarnation, action)
@@ -223,19 +223,19 @@
             WorldEvent::FeedTimeout(incarnation, call) => self.time_out_feed(incarnation, call),
             WorldEvent::HostTurn(_) | WorldEvent::HostReceives(..) | WorldEvent::HostActs(..) => {}
             WorldEvent::LinkChunk(transfer) => self.send_chunk(*transfer),
-            WorldEvent::WorkerReceives(order) => self.deliver_order(*order),
-            WorldEvent::WorkerDue(place) => self.update_worker(place),
+            WorldEvent::WorkerReceives(delivery) => self.deliver_order(*delivery),
+            WorldEvent::WorkerDue(incarnation) => self.update_worker(incarnation),
             WorldEvent::WorkerReplaced(place) => self.replace_worker(place),
             WorldEvent::WorkerRestarts(place) => self.restart_worker(place),
-            WorldEvent::WorkerLeaves(place) => self.worker_leaves(place),
-            WorldEvent::WorkerRecovers(place) => self.fleet.set_hangs(place, false),
+            WorldEvent::WorkerLeaves(incarnation) => self.worker_leaves(incarnation),
+            WorldEvent::WorkerRecovers(incarnation) => self.fleet.set_hangs(incarnation, false),
             WorldEvent::HostStarts(host) => self.start_host(host),
             WorldEvent::NextJob(class) => self.next_job(class),
             WorldEvent::InitialJob(class) => self.submit_job(class),
             WorldEvent::SendRequest(body, tries) => self.send_to_host(body, tries),
             WorldEvent::RetryRequest(request) => self.retry_request(request),
             WorldEvent::Planned(event) => self.apply_day_event(event),
-            WorldEvent::ImagesRecover => self.book.failing_images.clear(),
+            WorldEvent::ImagesRecover => self.catalog.failing_images.clear(),
             WorldEvent::CheckRules => {
                 self.check_rules();
                 self.queue
@@ -245,7 +245,7 @@
     }
 
     /// Queues a work item at a host, which processes it at its next turn.
-    fn reach(&mut self, incarnation: HostIncarnation, item: WorkItem) {
+    fn enqueue_item(&mut self, incarnation: HostIncarnation, item: WorkItem) {
         let host = &mut self.hosts[incarnation.host];
         if let WorkItem::GivenUp(call) = item {
             // The call's timeout is extended when bytes of its answer arrive.
@@ -265,7 +265,7 @@
         }
     }
 
-    fn turn(&mut self, incarnation: HostIncarnation) {
+    fn run_turn(&mut self, incarnation: HostIncarnation) {
         let host = &mut self.hosts[incarnation.host];
         for (at, action) in host.turn(self.now) {
             self.queue
@@ -292,13 +292,13 @@
             }
             HostAction::Pause(pause, at) => self.pause(incarnation, pause, at),
             HostAction::Tick(at) => {
-                let reach = WorldEvent::HostReceives(incarnation, WorkItem::Tick);
-                self.queue.push(at, reach);
+                let tick = WorldEvent::HostReceives(incarnation, WorkItem::Tick);
+                self.queue.push(at, tick);
             }
             HostAction::Respond(request, served) => self.handle_response(request, served),
             HostAction::Owned(epoch, took_ms) => {
                 self.monitor
-                    .owned(self.now, incarnation.host, epoch, took_ms);
+                    .record_takeover(self.now, incarnation.host, epoch, took_ms);
             }
             HostAction::Noted(note) => self.monitor.note(&note),
         }
--- a/crates/emulator/src/world/monitor.rs
+++ b/crates/emulator/src/world/monitor.rs
@@ -56,7 +56,7 @@
         self.any_until = self.any_until.max(now);
         if self.hosts.iter().all(|(lost, _)| *lost) {
             self.all_lost = Some(now);
-            self.report.losses.push(HostOutage {
+            self.report.outages.push(HostOutage {
                 lost_ms: now / MS,
                 back_ms: None,
             });
@@ -67,8 +67,8 @@
         self.hosts[host] = (false, now);
         self.any_until = self.any_until.max(now);
         if self.all_lost.is_some() {
-            if let Some(times) = self.report.losses.last_mut() {
-                times.back_ms = Some(now / MS);
+            if let Some(outage) = self.report.outages.last_mut() {
+                outage.back_ms = Some(now / MS);
             }
             if self.hosts.iter().all(|(lost, _)| !lost) {
                 self.all_lost = None;
@@ -109,7 +109,13 @@
     }
 
     /// Records that a new owner has read the state that it takes over.
-    pub(super) fn owned(&mut self, now: Micros, host: usize, epoch: u64, took_ms: Millis) {
+    pub(super) fn record_takeover(
+        &mut self,
+        now: Micros,
+        host: usize,
+        epoch: u64,
+        took_ms: Millis,
+    ) {
         self.report.takeovers.push(OwnerTakeover {
             epoch,
             host,
@@ -127,7 +133,7 @@
                 OrderAnswer::Refused(_, RefusalReason::Late) => report.refused_late += 1,
                 OrderAnswer::Refused(_, RefusalReason::NoRoom) => report.refused_room += 1,
                 OrderAnswer::Unknown => report.unanswered += 1,
-                _ => report.refused_else += 1,
+                _ => report.refused_other += 1,
             },
             JobNote::WorkerSilent(_) => report.silent += 1,
             JobNote::Paced(..) => report.paced += 1,
@@ -217,7 +223,7 @@
                 epoch,
                 processor_millis: used / 1_000,
                 read_kbit: carried * 8 / 1_000,
-                late_ms: owner.processor.free_at().saturating_sub(now) / MS,
+                wait_ms: owner.processor.free_at().saturating_sub(now) / MS,
                 counts,
             });
         }
@@ -231,9 +237,9 @@
     pub(super) fn finish(&mut self) {
         self.count_served();
         let until = self.traffic_until / MS;
-        for times in &self.monitor.report.losses {
-            if let Some(back) = times.back_ms {
-                let (oracle, lost) = (&mut self.oracle, times.lost_ms);
+        for outage in &self.monitor.report.outages {
+            if let Some(back) = outage.back_ms {
+                let (oracle, lost) = (&mut self.oracle, outage.lost_ms);
                 self.host_oracle.check_recovery(until, lost, back, oracle);
             }
         }
@@ -253,7 +259,7 @@
                 )
             })
             .collect();
-        report.seconds_played = self.now / MS / 1_000;
+        report.simulated_s = self.now / MS / 1_000;
         report.served_percent = self.host_oracle.served_percent(0, self.now / MS);
         report.longest_away_ms = self.oracle.longest_away;
         report.longest_idle_ms = self.oracle.longest_idle;
--- a/crates/emulator/src/world/transport.rs
+++ b/crates/emulator/src/world/transport.rs
@@ -26,7 +26,7 @@
 pub(super) struct LinkTransfer {
     incarnation: HostIncarnation,
     /// The bytes that have not been sent yet.
-    left: u64,
+    remaining: u64,
     payload: TransferPayload,
 }
 
@@ -92,7 +92,7 @@
         };
         let transfer = LinkTransfer {
             incarnation,
-            left: bytes,
+            remaining: bytes,
             payload: TransferPayload::Out(Box::new(arrives)),
         };
         let chunk = WorldEvent::LinkChunk(Box::new(transfer));
@@ -138,10 +138,10 @@
             TransferPayload::Out(_) => &mut host.uplink,
             TransferPayload::In(..) | TransferPayload::Request(_) => &mut host.downlink,
         };
-        let chunk = transfer.left.min(CHUNK_BYTES);
+        let chunk = transfer.remaining.min(CHUNK_BYTES);
         let sent_at = link.carry(self.now, chunk);
-        transfer.left -= chunk;
-        if transfer.left > 0 {
+        transfer.remaining -= chunk;
+        if transfer.remaining > 0 {
             self.queue
                 .push(sent_at, WorldEvent::LinkChunk(Box::new(transfer)));
             return;
@@ -175,7 +175,7 @@
         self.monitor.report.calls.note_answer(&answer, bytes);
         let transfer = LinkTransfer {
             incarnation,
-            left: bytes,
+            remaining: bytes,
             payload: TransferPayload::In(call, answer, bytes),
         };
         let chunk = WorldEvent::LinkChunk(Box::new(transfer));
@@ -202,7 +202,7 @@
     ) {
         let transfer = LinkTransfer {
             incarnation,
-            left: bytes,
+            remaining: bytes,
             payload: TransferPayload::Request(item),
         };
         self.queue
@@ -265,8 +265,8 @@
             _ => Vec::new(),
         };
         let answer = self.store.answer(self.now, ask, &workers);
-        let turned_away = matches!(answer.reply, crate::store::StoreReply::TurnedAway);
-        if !turned_away {
+        let rejected = matches!(answer.reply, crate::store::StoreReply::TurnedAway);
+        if !rejected {
             self.note_stored(ask, &answer.reply);
         }
         self.answer(
@@ -276,7 +276,7 @@
             CallAnswer::Store(answer.reply),
             answer.bytes,
         );
-        if ask.changes_rows() && !turned_away {
+        if ask.changes_rows() && !rejected {
             self.answer_feeds();
         }
     }
--- a/crates/emulator/tests/grown.rs
+++ b/crates/emulator/tests/grown.rs
@@ -23,7 +23,7 @@
 
 fn holds_plan(name: &str, plan: DayPlan, seed: u64) {
     let mut world = EmulatedWorld::new(seed, plan);
-    world.play();
+    world.run();
     let report = world.report();
     println!("{name} seed {seed}\n{report}");
     let first: Vec<_> = report.broken.iter().take(3).collect();
--- a/crates/emulator/tests/rules.rs
+++ b/crates/emulator/tests/rules.rs
@@ -15,7 +15,7 @@
 
 fn play(day: DayPlan) -> SimulationReport {
     let mut world = EmulatedWorld::new(SEED, day);
-    world.play();
+    world.run();
     world.report()
 }
 
@@ -78,7 +78,7 @@
 fn fifteenth_of_a_processor_beside_room() -> DayPlan {
     let mut day = small(|host| host.processor_millis /= 15);
     for class in &mut day.deployment.classes {
-        class.filled /= 4;
+        class.initial_jobs /= 4;
     }
     day
 }
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -20,7 +20,7 @@
 /// What is broken by a host that is seen so, one sight after the other.
 fn seen(sights: &[(u64, HostObservation)]) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
-    let mut hosts = HostOracle::new(RuleBounds::GROWN);
+    let mut hosts = HostOracle::new(RuleBounds::LARGE);
     hosts.configured(CONFIGURED_MS, 7);
     for (at, sight) in sights {
         hosts.check_host(*at, 0, sight, 0, &mut oracle);
@@ -39,7 +39,7 @@
 /// A day of one request every 100 ms, all hosts lost from 10 to 11 s, of which so many of ten are served before and after.
 fn recovery(before: u64, after: u64) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
-    let mut hosts = HostOracle::new(RuleBounds::GROWN);
+    let mut hosts = HostOracle::new(RuleBounds::LARGE);
     for number in 0..400 {
         let at = number * 100;
         let request = hosts.requested(at);
@@ -54,7 +54,7 @@
 
 /// A task of a job that is cancelled at 1 s is still at work at a time; nothing has been disturbed since another.
 fn stopped_at(now: u64, calm_since: u64) -> Vec<BrokenRule> {
-    let mut oracle = PlatformOracle::with_bounds(RuleBounds::GROWN);
+    let mut oracle = PlatformOracle::with_bounds(RuleBounds::LARGE);
     let rules = QueueRules {
         service: "desk".to_owned(),
         priority: 0,
--- a/crates/jobs/tests/support/emulator/halls.rs
+++ b/crates/jobs/tests/support/emulator/halls.rs
@@ -40,7 +40,11 @@
             true => owners,
             false => any,
         };
-        let way = [CutDirection::Outward, CutDirection::Inward, CutDirection::Both][self.random.random_range(0..3)];
+        let way = [
+            CutDirection::Outward,
+            CutDirection::Inward,
+            CutDirection::Both,
+        ][self.random.random_range(0..3)];
         let until = self.now + self.random.random_range(1_000..14_000);
         self.cut = Some(HallCut {
             hall,
