--- a/crates/emulator/src/days.rs
+++ b/crates/emulator/src/days.rs
@@ -40,7 +40,7 @@
     ),
     (
         "cuts",
-        "the owner's hall is cut off outward, inward and outward again, and another hall in both directions",
+        "the owner's hall is cut off outward, inward and outward again, and hall 1 in both directions",
     ),
 ];
 
--- a/crates/emulator/src/oracle/hosts.rs
+++ b/crates/emulator/src/oracle/hosts.rs
@@ -33,7 +33,7 @@
 
 /// One request of a caller.
 #[derive(Clone, Copy, Debug)]
-struct SeenRequest {
+struct TrackedRequest {
     sent: Millis,
     served: bool,
 }
@@ -45,7 +45,7 @@
     /// Acknowledged configuration versions, each with the time of its acknowledgement.
     acknowledged: VecDeque<(Millis, u64)>,
     hosts: BTreeMap<usize, HostHistory>,
-    requests: Vec<SeenRequest>,
+    requests: Vec<TrackedRequest>,
     /// The longest time until a version was in force on a host in touch, in milliseconds.
     pub longest_config: Millis,
 }
@@ -98,7 +98,7 @@
                 continue;
             }
             let waited = now - at;
-            // A host that came back after the acknowledgement has been in touch for a shorter time than `waited`.
+            // A host that came back after the acknowledgement has been in touch only since then: `waited` is not its delay.
             if calm_since <= *at {
                 self.longest_config = self.longest_config.max(waited);
             }
@@ -113,7 +113,7 @@
 
     /// Records that a request was sent; returns its index.
     pub fn requested(&mut self, now: Millis) -> usize {
-        self.requests.push(SeenRequest {
+        self.requests.push(TrackedRequest {
             sent: now,
             served: false,
         });
--- a/crates/emulator/src/oracle/idle.rs
+++ b/crates/emulator/src/oracle/idle.rs
@@ -11,8 +11,8 @@
 /// A job with a bounded amount of work that has not finished.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenJob {
-    /// How many of its runs are running.
-    live: usize,
+    /// The number of its runs that are in progress.
+    running: usize,
     /// How many of its tasks are not done.
     unfinished: usize,
     /// How long it has had no run although there was free capacity, in milliseconds.
@@ -26,7 +26,7 @@
         let has_standing_tasks = spec.steps.iter().any(|step| step.standing);
         let unfinished = spec.steps.iter().map(|step| step.count as usize);
         (!has_standing_tasks && spec.repeat.is_none()).then(|| Self {
-            live: 0,
+            running: 0,
             unfinished: unfinished.sum(),
             idle: 0,
             reported: false,
@@ -34,13 +34,13 @@
     }
 
     pub(super) fn begin(&mut self) {
-        self.live += 1;
+        self.running += 1;
         self.idle = 0;
     }
 
     /// Counts the end of a run; `done` says whether it completed its task.
     pub(super) fn end(&mut self, done: bool) {
-        self.live = self.live.saturating_sub(1);
+        self.running = self.running.saturating_sub(1);
         self.unfinished = self.unfinished.saturating_sub(usize::from(done));
     }
 }
@@ -53,7 +53,7 @@
         let counts = room.under_half;
         let mut late = Vec::new();
         for (number, job) in &mut self.open {
-            if job.live > 0 || job.unfinished == 0 {
+            if job.running > 0 || job.unfinished == 0 {
                 job.idle = 0;
                 continue;
             }
--- a/crates/emulator/src/world/callers.rs
+++ b/crates/emulator/src/world/callers.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Reports what the store has written to the oracle.
+    /// Informs the oracle of the jobs, cancellations and progress that the store has written.
     pub(super) fn note_stored(&mut self, ask: &StoreAsk, reply: &StoreReply) {
         let now = self.now / MS;
         match (ask, reply) {
--- a/crates/emulator/src/world/monitor.rs
+++ b/crates/emulator/src/world/monitor.rs
@@ -204,8 +204,8 @@
     fn record_owner_stats(&mut self) {
         let now = self.now;
         let owners = (0..self.hosts.len()).filter_map(|host| {
-            let figures = self.hosts[host].owner_figures(now)?;
-            Some((figures.epoch, host, figures.counts))
+            let stats = self.hosts[host].owner_figures(now)?;
+            Some((stats.epoch, host, stats.counts))
         });
         if let Some((epoch, host, counts)) = owners.max_by_key(|(epoch, ..)| *epoch) {
             let owner = &self.hosts[host];
