--- a/crates/emulator/tests/rules.rs
+++ b/crates/emulator/tests/rules.rs
@@ -5,7 +5,7 @@
 use sandshelf_emulator::deployment::{Deployment, WEAK_HOST};
 use sandshelf_emulator::host::{HostFault, HostModel, TransferLimit};
 use sandshelf_emulator::oracle::BrokenRule;
-use sandshelf_emulator::report::PlayReport;
+use sandshelf_emulator::report::SimulationReport;
 use sandshelf_emulator::world::EmulatedWorld;
 
 /// The seed of all simulations in this file.
@@ -13,9 +13,9 @@
 /// Duration of the traffic, in milliseconds.
 const TRAFFIC_MS: u64 = 12_000;
 
-fn play(day: DayPlan) -> PlayReport {
+fn play(day: DayPlan) -> SimulationReport {
     let mut world = EmulatedWorld::new(SEED, day);
-    world.play();
+    world.run();
     world.report()
 }
 
@@ -78,14 +78,14 @@
 fn fifteenth_of_a_processor_with_free_capacity() -> DayPlan {
     let mut day = small(|host| host.processor_millis /= 15);
     for class in &mut day.deployment.classes {
-        class.filled /= 4;
+        class.initial_jobs /= 4;
     }
     day
 }
 
 /// A simulation gives the same result each time.
 fn same_play_each_time() {
-    let print = |report: PlayReport| format!("{report} {:?}", report.broken);
+    let print = |report: SimulationReport| format!("{report} {:?}", report.broken);
     let first = print(play(tenth_of_a_processor()));
     assert_eq!(first, print(play(tenth_of_a_processor())));
 }
--- a/crates/emulator/tests/sights.rs
+++ b/crates/emulator/tests/sights.rs
@@ -1,36 +1,38 @@
 //! Tests which observations of hosts and of running tasks the oracles report as broken rules.
 
-use sandshelf_emulator::oracle::{BrokenRule, HostOracle, HostSight, PlatformOracle, RuleBounds};
+use sandshelf_emulator::oracle::{
+    BrokenRule, HostObservation, HostOracle, PlatformOracle, RuleBounds,
+};
 use sandshelf_jobs::{JobNumber, JobSpec, QueueRules, RunKey, StepSpec, TaskKey};
 use sandshelf_model::{ResourceSize, WorkerId};
 
 /// The time at which version 7 of the configuration is acknowledged, in milliseconds.
 const CONFIGURED_AT_MS: u64 = 10_000;
 
-fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostSight {
-    HostSight {
-        life: 1,
+fn sight(version: Option<u64>, calm_since: Option<u64>) -> HostObservation {
+    HostObservation {
+        incarnation: 1,
         version,
         calm_since,
     }
 }
 
 /// Returns the rules that are reported for a host with these successive observations.
-fn broken_by(sights: &[(u64, HostSight)]) -> Vec<BrokenRule> {
+fn broken_by(sights: &[(u64, HostObservation)]) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
-    let mut hosts = HostOracle::new(RuleBounds::GROWN);
+    let mut hosts = HostOracle::new(RuleBounds::LARGE);
     hosts.configured(CONFIGURED_AT_MS, 7);
     for (at, sight) in sights {
-        hosts.look(*at, 0, sight, 0, &mut oracle);
+        hosts.check_host(*at, 0, sight, 0, &mut oracle);
     }
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
-fn breaks_config(sights: &[(u64, HostSight)]) {
+fn breaks_config(sights: &[(u64, HostObservation)]) {
     assert_eq!(broken_by(sights), [BrokenRule::Config]);
 }
 
-fn keeps_config(sights: &[(u64, HostSight)]) {
+fn keeps_config(sights: &[(u64, HostObservation)]) {
     assert_eq!(broken_by(sights), []);
 }
 
@@ -38,7 +40,7 @@
 /// from then on.
 fn recovery(before: u64, after: u64) -> Vec<BrokenRule> {
     let mut oracle = PlatformOracle::default();
-    let mut hosts = HostOracle::new(RuleBounds::GROWN);
+    let mut hosts = HostOracle::new(RuleBounds::LARGE);
     for number in 0..400 {
         let at = number * 100;
         let request = hosts.requested(at);
@@ -47,13 +49,13 @@
             hosts.served(request);
         }
     }
-    hosts.look_for_recovery(40_000, 10_000, 11_000, &mut oracle);
+    hosts.check_recovery(40_000, 10_000, 11_000, &mut oracle);
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
 /// A task of a job that was cancelled at 1 s is still running at `now`; nothing has been disturbed since `calm_since`.
 fn stopped_at(now: u64, calm_since: u64) -> Vec<BrokenRule> {
-    let mut oracle = PlatformOracle::with_bounds(RuleBounds::GROWN);
+    let mut oracle = PlatformOracle::with_bounds(RuleBounds::LARGE);
     let rules = QueueRules {
         service: "desk".to_owned(),
         priority: 0,
@@ -84,7 +86,7 @@
     oracle.accepted(JobNumber(1), &spec);
     oracle.started(500, &WorkerId::from("w-1"), RunKey { task, run: 1 }, true);
     oracle.cancelled(1_000, JobNumber(1));
-    oracle.look_for_stops(now, calm_since);
+    oracle.check_late_stops(now, calm_since);
     oracle.broken.iter().map(|(_, rule, _)| *rule).collect()
 }
 
--- a/crates/jobs/tests/support/emulator/halls.rs
+++ b/crates/jobs/tests/support/emulator/halls.rs
@@ -2,7 +2,7 @@
 //! outside all halls.
 
 use rand::RngExt;
-use sandshelf_emulator::day::CutWay;
+use sandshelf_emulator::day::CutDirection;
 use sandshelf_model::{HallId, Millis};
 
 use super::PlatformEmulator;
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HallCut {
     pub hall: usize,
-    pub way: CutWay,
+    pub way: CutDirection,
     pub since: Millis,
     pub until: Millis,
 }
@@ -40,7 +40,11 @@
             true => owners,
             false => any,
         };
-        let way = [CutWay::Outward, CutWay::Inward, CutWay::Both][self.random.random_range(0..3)];
+        let way = [
+            CutDirection::Outward,
+            CutDirection::Inward,
+            CutDirection::Both,
+        ][self.random.random_range(0..3)];
         let until = self.now + self.random.random_range(1_000..14_000);
         self.cut = Some(HallCut {
             hall,
--- a/crates/jobs/tests/support/emulator/workers.rs
+++ b/crates/jobs/tests/support/emulator/workers.rs
@@ -15,7 +15,7 @@
 };
 use crate::support::emulated_worker::{ChangingCapacity, EmulatedRun, EmulatedWorker, REPORT_MS};
 use crate::support::listing;
-use crate::support::oracle::SoundRoom;
+use crate::support::oracle::UsableCapacity;
 
 /// Base of incarnation numbers, in milliseconds since 1970.
 const FIRST_INCARNATION_MS: u64 = 1_769_000_000_000;
@@ -143,7 +143,7 @@
     }
 
     /// The free capacity of workers that are reachable and not draining.
-    pub(super) fn sound_room(&self) -> SoundRoom {
+    pub(super) fn sound_room(&self) -> UsableCapacity {
         let capacity = listing("w-1").capacity;
         let cut = self.hall_cut().map(|cut| cut.hall);
         let usable = |worker: &&EmulatedWorker| {
@@ -154,7 +154,7 @@
         let usable: Vec<_> = self.workers.iter().filter(usable).collect();
         let used = usable.iter().map(|worker| worker.used().cpu_millis);
         let half = usable.len() as u64 * capacity.cpu_millis / 2;
-        SoundRoom {
+        UsableCapacity {
             under_half: used.sum::<u64>() < half,
             calm_ms: 0,
             free: usable
