--- a/crates/emulator/src/oracle/mod.rs
+++ b/crates/emulator/src/oracle/mod.rs
@@ -258,8 +258,8 @@
         }
         let running = self.running.entry(task).or_default();
         running.insert((worker.clone(), key.run));
-        let seen = self.history.entry(task).or_default();
-        seen.push(format!("{now}: {} started on {worker}", key.run));
+        let task_history = self.history.entry(task).or_default();
+        task_history.push(format!("{now}: {} started on {worker}", key.run));
     }
 
     /// Reports that a worker starts a run although it has been draining for more than `drain_ms`.
@@ -291,8 +291,8 @@
     /// Records that a run is over; `outcome` is `None` where it was lost with its worker.
     pub fn ended(&mut self, worker: &WorkerId, key: RunKey, outcome: Option<RunOutcome>) {
         self.ends += 1;
-        let seen = self.history.entry(key.task).or_default();
-        seen.push(format!("{} ended on {worker} as {outcome:?}", key.run));
+        let task_history = self.history.entry(key.task).or_default();
+        task_history.push(format!("{} ended on {worker} as {outcome:?}", key.run));
         if outcome == Some(RunOutcome::Failed) {
             *self.failures.entry(key.task).or_default() += 1;
         }
@@ -306,8 +306,8 @@
 
     /// Records that a worker crashed while it ran a task.
     pub fn crashed(&mut self, worker: &WorkerId, key: RunKey) {
-        let seen = self.history.entry(key.task).or_default();
-        seen.push(format!("{worker} crashed while it ran {}", key.run));
+        let task_history = self.history.entry(key.task).or_default();
+        task_history.push(format!("{worker} crashed while it ran {}", key.run));
         self.crashes.crash(key.task);
     }
 
@@ -330,8 +330,8 @@
 
     /// Records that the end of a run was acknowledged.
     pub fn acknowledged(&mut self, key: RunKey, outcome: RunOutcome) {
-        let seen = self.history.entry(key.task).or_default();
-        seen.push(format!("{} acknowledged as {outcome:?}", key.run));
+        let task_history = self.history.entry(key.task).or_default();
+        task_history.push(format!("{} acknowledged as {outcome:?}", key.run));
         match outcome {
             RunOutcome::Done => {
                 self.acknowledged.insert(key.task);
--- a/crates/jobs/src/crash/mod.rs
+++ b/crates/jobs/src/crash/mod.rs
@@ -15,7 +15,7 @@
 //!
 //! A third crash puts the blame on a task if two of the crashes were certain, since the task was
 //! the only suspect, and the workers went down right with its start; otherwise a fourth does. Then
-//! the job of the task is given up. In 90 test days with failed racks, flapping workers and
+//! the job of the task is given up. In 90 simulations with failed racks, flapping workers and
 //! killed hosts, but without tasks that crash workers, 266 tasks got a first crash note and none
 //! got a second. For a false verdict, healthy workers have to go down by themselves three times in
 //! a row within a quarter of a second after the start of the task, the last time with no other new
--- a/crates/jobs/src/relay/plan.rs
+++ b/crates/jobs/src/relay/plan.rs
@@ -14,8 +14,8 @@
 /// load), and a quarter of the core may be spent on them.
 const DIRECT_WORKERS_PERCENT: u64 = 60;
 /// The most workers that a relay serves, in the unit of [`DIRECT_WORKERS_PERCENT`]. A relay also serves its own callers, and calls that
-/// begin together wait for one another. A simulated run with weak hosts only scores 0.405 with this value, and 0.402 with 12, which
-/// needs more messages.
+/// begin together wait for one another. In simulation with weak hosts only, a limit of 12 gives about the same results, but needs more
+/// messages.
 const RELAY_WORKERS_PERCENT: u64 = 20;
 
 /// The processor time of the first call to a worker, in microseconds: 60 us for the new connection and 130 us for the call, on
--- a/crates/lease/src/events.rs
+++ b/crates/lease/src/events.rs
@@ -70,7 +70,7 @@
         present: Vec<WorkerEntry>,
         /// Those of the present workers that are to be drained.
         leaving: BTreeSet<WorkerId>,
-        /// Worker incarnations that the platform reports as gone for good.
+        /// Workers that the platform reports as gone for good.
         gone: BTreeSet<WorkerId>,
     },
     /// The configuration in force, and the shards that share its tasks.
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -62,7 +62,7 @@
     pub(crate) listed: BTreeMap<WorkerId, WorkerEntry>,
     /// Workers that the platform wants drained.
     pub(crate) leaving: BTreeSet<WorkerId>,
-    /// Worker incarnations that are gone for good.
+    /// Workers that are gone for good.
     pub(crate) gone: BTreeSet<WorkerId>,
     pub(crate) config: Option<(Revision, Arc<ConfigSet>, Arc<Vec<ShardId>>)>,
     /// Free capacity of the other shards, as last published.
--- a/crates/lease/src/session.rs
+++ b/crates/lease/src/session.rs
@@ -36,7 +36,7 @@
     pub silent_until: Millis,
     /// Until when attempts whose leases this owner renewed may still run on the worker.
     pub renewed_until: Millis,
-    /// Whether the platform reports this worker incarnation as gone for good.
+    /// Whether the platform reports this worker as gone for good.
     pub gone: bool,
     /// Whether the worker is being drained.
     pub leaving: bool,
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -52,7 +52,8 @@
     RackId
 );
 text_id!(
-    /// Identifies one incarnation of a worker, a machine that runs tasks.
+    /// The name of a worker, a machine that runs tasks. A worker may keep its name when it restarts; `WorkerIncarnation` in
+    /// `crates/jobs` tells its incarnations apart.
     WorkerId
 );
 text_id!(
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -28,7 +28,7 @@
 /// One worker as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
-    /// The identifier of the worker's incarnation.
+    /// The worker's name.
     pub worker: WorkerId,
     /// The hall that it is in.
     pub hall: HallId,
