--- a/crates/jobs/src/limits.rs
+++ b/crates/jobs/src/limits.rs
@@ -37,7 +37,7 @@
 /// owner dies right before it has recorded that. It takes 1.75 s to record a silent worker (two renewals of half a second each, their
 /// timeouts and the pause between them), 1.9 s until another host owns the shard, 1 s of margin for an owner that was cut off, and 4.1 s for
 /// the lease on a clock that is 2 % slow: 8.75 s in total. With the 10 s that some workers grant, tasks did not run for 17.8 s in
-/// simulation. Leases of 4 s changed the results in simulation by no more than their spread (docs/POLICY.md).
+/// simulation; leases of 4 s changed the results by no more than their spread (docs/POLICY.md).
 const MAX_OWNER_LEASE_MS: Millis = 4_000;
 
 /// When a failing worker is quarantined and for how long. The quarantine is short, since a standing task has to run again within six
--- a/crates/jobs/src/load_forecast.rs
+++ b/crates/jobs/src/load_forecast.rs
@@ -1,5 +1,8 @@
 //! Tracks the loads of serving tasks, corrected for interference by filling tasks, and forecasts them.
 //!
+//! A load is a utilisation, a fraction of the load at which a serving task is saturated: 0 is idle, and towards 1 its tail latency
+//! grows without bound (see `interference.rs`). Deviations and amplitudes of loads are in the same unit, variances in its square.
+//!
 //! The tasks of one step serve the same users, so their loads rise and fall together on all workers: the readings of all
 //! workers are samples of one load. That load oscillates. The readings of each step are fitted with a mean and a sine wave whose
 //! period is common to all steps; the period is searched for over a range. Where no wave fits, the newest readings are the
@@ -22,9 +25,9 @@
 const STEP_EXPIRY_MS: Millis = 15_000;
 /// The lower bound of the variance of a load reading (a standard deviation of 0.03).
 const MIN_READING_VARIANCE: f64 = 0.000_9;
-/// The upper bound of a bin's weight, which is one over its variance (a standard deviation of 0.015).
+/// The upper bound of a bin's weight, which is one over the variance of the bin's mean load (here a standard deviation of 0.015).
 const MAX_BIN_WEIGHT: f64 = 4_444.0;
-/// The assumed mean load before any reading.
+/// The assumed mean load of a step before any reading.
 const PRIOR_MEAN: f64 = 0.45;
 /// The assumed amplitude of load oscillations before any reading.
 const PRIOR_AMPLITUDE: f64 = 0.2;
@@ -33,32 +36,35 @@
 const MEAN_VARIANCE: f64 = 0.04;
 /// The variance of one step's mean load around the mean of all steps once a common wave is known (a standard deviation of 0.05).
 const MEAN_VARIANCE_WITH_WAVE: f64 = 0.002_5;
-/// The lower bound of the squared amplitude.
+/// The lower bound of the squared amplitude of load oscillations.
 const MIN_SQUARE_AMPLITUDE: f64 = 0.001;
 /// The time in which a bin's weight decays by a factor of e where a wave is fitted. A wave whose period is slightly wrong drifts
 /// out of phase over several periods.
 const WAVE_DECAY_MS: f64 = 12_000.0;
 /// The time in which a bin's weight decays by a factor of e where no wave is known, so that the newest readings dominate.
 const LEVEL_DECAY_MS: f64 = 1_000.0;
-/// From how many of the newest bins the offset of the readings from the wave is computed.
+/// The number of newest bins from which the offset of the load readings from the wave is computed.
 const BINS_FOR_OFFSET: usize = 2;
-/// The weight of an assumed offset of 0, in units of bin weights: an offset may be the error of one reading.
+/// The weight of an assumed offset of 0 from the wave, in the unit of bin weights: an offset may be the error of one reading.
 const ZERO_OFFSET_WEIGHT: f64 = 1_000.0;
-/// The time in which that offset decays by a factor of e in a forecast.
+/// The time in which the offset of the newest readings from the wave decays by a factor of e in a forecast.
 const OFFSET_DECAY_MS: f64 = 1_500.0;
-/// Forecast loads are clamped to these bounds.
+/// The lowest and the highest forecast load, as fractions of the load at which a serving task is saturated. Forecasts are clamped
+/// to them.
 const LOAD_BOUNDS: (f64, f64) = (0.05, 0.995);
-/// The candidate periods run from the first to the last; each is longer than the one before by the factor.
+/// The shortest candidate period of load oscillations.
 const FIRST_PERIOD_MS: f64 = 5_000.0;
+/// The longest candidate period of load oscillations.
 const LAST_PERIOD_MS: f64 = 60_000.0;
+/// Each candidate period is longer than the one before by this factor.
 const PERIOD_FACTOR: f64 = 1.03;
-/// How often the period is searched for.
+/// The interval between searches for the common period of load oscillations, where a backlog of work does not lengthen it.
 const PERIOD_SEARCH_INTERVAL_MS: Millis = 2_000;
-/// Steps with fewer bins are left out of the search for the period.
+/// Steps with fewer bins than this are left out of the search for the common period.
 const MIN_BINS_FOR_PERIOD: usize = 10;
-/// The number of steps used in the search for the period.
+/// The largest number of steps used in the search for the common period.
 const MAX_STEPS_FOR_PERIOD: usize = 16;
-/// A wave is accepted if its residual is at most this share of the residual of the mean alone.
+/// A common period is accepted if the residual of the waves is less than this share of the residual of the means alone.
 const MAX_RESIDUAL_SHARE: f64 = 0.5;
 
 /// The weighted mean of a step's load readings within [`BIN_MS`].
