--- a/crates/bench/src/batch.rs
+++ b/crates/bench/src/batch.rs
@@ -214,8 +214,8 @@
     pub fn families_on(&self, worker: &WorkerId) -> Vec<(String, u32)> {
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
         for owner in &self.owners {
-            for tenant in owner.pool().reservations(worker) {
-                *families.entry(tenant.family.clone()).or_default() += 1;
+            for reservation in owner.pool().reservations(worker) {
+                *families.entry(reservation.family.clone()).or_default() += 1;
             }
         }
         families.into_iter().collect()
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -280,7 +280,7 @@
                 },
                 number: 1,
             };
-            let tenant = TaskReservation {
+            let reservation = TaskReservation {
                 attempt: attempt.clone(),
                 size: need.size,
                 family: need.family.clone(),
@@ -288,7 +288,7 @@
                 repeatable: true,
                 progress_percent: 0,
             };
-            if pool.reserve(&choice.worker, tenant).is_ok() {
+            if pool.reserve(&choice.worker, reservation).is_ok() {
                 placed.push((choice.worker, attempt));
             }
         }
--- a/crates/lease/src/intake.rs
+++ b/crates/lease/src/intake.rs
@@ -220,12 +220,15 @@
             return;
         };
         session.leaving = true;
-        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
-        for tenant in tenants.iter().filter(|tenant| tenant.checkpoint) {
-            if session.confirmed.contains(&tenant.attempt)
-                && !session.evicting.contains(&tenant.attempt)
+        let reservations: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
+        for reservation in reservations
+            .iter()
+            .filter(|reservation| reservation.checkpoint)
+        {
+            if session.confirmed.contains(&reservation.attempt)
+                && !session.evicting.contains(&reservation.attempt)
             {
-                session.push_checkpoint(&tenant.attempt);
+                session.push_checkpoint(&reservation.attempt);
             }
         }
     }
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -429,7 +429,7 @@
                 .pool
                 .reservations(&worker)
                 .iter()
-                .map(|tenant| tenant.attempt.clone())
+                .map(|reservation| reservation.attempt.clone())
                 .collect();
             for attempt in attempts {
                 self.pool.release(&worker, &attempt);
--- a/crates/lease/src/owner/verify.rs
+++ b/crates/lease/src/owner/verify.rs
@@ -34,7 +34,7 @@
                 .pool
                 .reservations(worker)
                 .iter()
-                .all(|tenant| self.held.contains_key(&tenant.attempt));
+                .all(|reservation| self.held.contains_key(&reservation.attempt));
             if over && ours && !self.capacity_differs(worker) {
                 return Err(format!("worker {worker} is reserved beyond its capacity"));
             }
--- a/crates/lease/src/placing.rs
+++ b/crates/lease/src/placing.rs
@@ -210,8 +210,8 @@
             task: task.clone(),
             number: attempts + 1,
         };
-        let tenant = tenant_of(&attempt, spec, size);
-        if self.pool.reserve(&choice.worker, tenant).is_err() {
+        let reservation = reservation_of(&attempt, spec, size);
+        if self.pool.reserve(&choice.worker, reservation).is_err() {
             return false;
         }
         self.hold_capacity(&attempt, &choice.worker, spec, size);
@@ -295,7 +295,7 @@
             return;
         };
         self.pool
-            .record(worker, tenant_of(attempt, &spec, spec.size));
+            .record(worker, reservation_of(attempt, &spec, spec.size));
         self.hold_capacity(attempt, worker, &spec, spec.size);
     }
 
@@ -428,13 +428,13 @@
         if !self.lease.is_valid(now) {
             return;
         }
-        let tenants: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
+        let reservations: Vec<TaskReservation> = self.pool.reservations(worker).to_vec();
         let input = PressureInput {
             worker,
             service: &sample.service,
             slowdown: sample.slowdown,
             band: sample.band,
-            reservations: &tenants,
+            reservations: &reservations,
         };
         let action = self.gauge.judge(&input, &self.pool.estimate, now);
         let Some(session) = self.sessions.get_mut(worker) else {
@@ -455,7 +455,7 @@
 }
 
 /// The reservation of an attempt in the worker pool.
-pub(crate) fn tenant_of(
+pub(crate) fn reservation_of(
     attempt: &AttemptId,
     spec: &JobSpec,
     size: ResourceSize,
--- a/crates/lease/src/reports.rs
+++ b/crates/lease/src/reports.rs
@@ -8,7 +8,7 @@
 use crate::journal::JournalRecord;
 use crate::orders::{AttemptPhase, AttemptReport, OrderRefusal, WorkerReport};
 use crate::owner::ShardOwner;
-use crate::placing::tenant_of;
+use crate::placing::reservation_of;
 use crate::state::{RecordEffect, RequeueCause, TaskStage};
 
 /// A task is given up after this number of failed attempts; failures that quarantine the worker don't count.
@@ -88,15 +88,15 @@
         };
         let services = entry.services.iter().map(|(_, size)| size);
         let mut room = services.fold(entry.capacity, |room, size| room.saturating_minus(size));
-        let tenants = self.pool.reservations(worker).to_vec();
+        let reservations = self.pool.reservations(worker).to_vec();
         let Some(session) = self.sessions.get_mut(worker) else {
             return;
         };
-        for tenant in &tenants {
-            if let Ok(remaining) = room.minus(&tenant.size) {
+        for reservation in &reservations {
+            if let Ok(remaining) = room.minus(&reservation.size) {
                 room = remaining;
-            } else if !session.evicting.contains(&tenant.attempt) {
-                session.push_checkpoint(&tenant.attempt);
+            } else if !session.evicting.contains(&reservation.attempt) {
+                session.push_checkpoint(&reservation.attempt);
             }
         }
     }
@@ -136,9 +136,9 @@
         self.families.note_usage(&spec.family, &report.usage);
         let expected = self.families.run_time(&spec.family, spec.run_ms).max(1);
         let size = report.size.max_with(&report.usage);
-        let mut tenant = tenant_of(&report.attempt, &spec, size);
-        tenant.progress_percent = (report.ran_ms * 100 / expected).min(100) as u32;
-        self.pool.record(worker, tenant);
+        let mut reservation = reservation_of(&report.attempt, &spec, size);
+        reservation.progress_percent = (report.ran_ms * 100 / expected).min(100) as u32;
+        self.pool.record(worker, reservation);
         self.hold_capacity(&report.attempt, worker, &spec, size);
         if let Some(session) = self.sessions.get_mut(worker) {
             session.confirmed.insert(report.attempt.clone());
@@ -157,7 +157,7 @@
             .pool
             .reservations(worker)
             .iter()
-            .any(|tenant| &tenant.attempt == attempt);
+            .any(|reservation| &reservation.attempt == attempt);
         if !known {
             self.pool.record(
                 worker,
@@ -336,7 +336,7 @@
             .pool
             .reservations(worker)
             .iter()
-            .map(|tenant| &tenant.attempt)
+            .map(|reservation| &reservation.attempt)
             .filter(|attempt| {
                 !report
                     .attempts
@@ -391,8 +391,8 @@
 
     /// Whether a placement on this worker is still to be committed.
     fn has_unrecorded_placement(&self, worker: &WorkerId) -> bool {
-        let mut tenants = self.pool.reservations(worker).iter();
-        tenants.any(|tenant| self.placing.contains(&tenant.attempt.task))
+        let mut reservations = self.pool.reservations(worker).iter();
+        reservations.any(|reservation| self.placing.contains(&reservation.attempt.task))
     }
 
     pub(crate) fn after_requeued(
--- a/crates/sandshelfd/src/control/publish.rs
+++ b/crates/sandshelfd/src/control/publish.rs
@@ -78,8 +78,8 @@
         let Some(owner) = owner else { return };
         let shard = owner.shard().clone();
         let mut families: BTreeMap<String, u32> = BTreeMap::new();
-        for tenant in owner.pool().reservations(&window.worker) {
-            *families.entry(tenant.family.clone()).or_default() += 1;
+        for reservation in owner.pool().reservations(&window.worker) {
+            *families.entry(reservation.family.clone()).or_default() += 1;
         }
         let slots = self.config.set().map_or(1, |set| set.backends.slots);
         let band = LoadBand::of(window.utilisation(LATENCY_WINDOW_MS, slots));
@@ -194,7 +194,7 @@
             .pool()
             .reservations(worker)
             .iter()
-            .map(|tenant| tenant.attempt.to_string())
+            .map(|reservation| reservation.attempt.to_string())
             .collect(),
     });
     ShardStatus {
