--- a/crates/emulator/src/host/control.rs
+++ b/crates/emulator/src/host/control.rs
@@ -64,7 +64,7 @@
     rank: u32,
     claimed_at: Millis,
     pub(super) owned: Option<OwnedShard>,
-    pub(super) waiting_batch: Option<CommitBatch>,
+    pub(super) pending_batch: Option<CommitBatch>,
     pub(super) writing: Option<WriteState>,
     /// Whether a read of the owner's row is in progress.
     reading: bool,
@@ -96,7 +96,7 @@
             rank: strength.draw_rank(random),
             claimed_at: 0,
             owned: None,
-            waiting_batch: None,
+            pending_batch: None,
             writing: None,
             reading: false,
             next_read: 0,
@@ -127,9 +127,9 @@
         self.takeover = None;
     }
 
-    /// Whether this process may claim the shard at once because its recorded owner is an earlier process of the same host.
+    /// Whether the shard's recorded owner is an earlier incarnation of this host, so that this one may claim the shard at once.
     /// Always `false` for weak hosts.
-    fn may_succeed_earlier_process(&self) -> bool {
+    fn owner_is_earlier_incarnation(&self) -> bool {
         let watching = *self.lease.stage() == LeaseStage::Watching;
         let owner = self.lease.row().and_then(|seen| seen.row.owner.as_ref());
         let earlier = owner.is_some_and(|owner| {
@@ -235,7 +235,7 @@
             JobAction::Note(note) => self.actions.push((at, HostAction::Noted(note))),
             JobAction::Deposed => self.step_down(),
             JobAction::Commit(batch) => {
-                self.control.waiting_batch = Some(batch);
+                self.control.pending_batch = Some(batch);
                 self.write_next(at);
             }
             JobAction::Call {
@@ -272,7 +272,7 @@
     /// Stops owning the shard at once, without writing to the store.
     pub(super) fn step_down(&mut self) {
         self.control.owned = None;
-        self.control.waiting_batch = None;
+        self.control.pending_batch = None;
         self.control.takeover = None;
         self.control.rank = self.control.strength.draw_rank(&mut self.random);
         self.control.lease.return_to_watching();
@@ -287,7 +287,7 @@
         let now = at / MS;
         let control = &self.control;
         let free = control.lease.may_claim(now, control.claim_rank())
-            || control.may_succeed_earlier_process();
+            || control.owner_is_earlier_incarnation();
         if free && control.writing.is_none() {
             let token = self.token();
             self.control.claimed_at = now;
--- a/crates/emulator/src/host/model.rs
+++ b/crates/emulator/src/host/model.rs
@@ -53,7 +53,7 @@
     /// Claims first.
     Strong,
     /// Claims if no strong host does.
-    Middling,
+    Medium,
     /// Claims last.
     Weak,
 }
@@ -65,7 +65,7 @@
         match model.processor_millis {
             millis if thin || millis < WEAK_PROCESSOR_MILLICORES => HostStrength::Weak,
             millis if millis >= STRONG_PROCESSOR_MILLICORES => HostStrength::Strong,
-            _ => HostStrength::Middling,
+            _ => HostStrength::Medium,
         }
     }
 
@@ -73,7 +73,7 @@
     pub(super) fn draw_rank(self, random: &mut ChaCha8Rng) -> u32 {
         random.random_range(match self {
             HostStrength::Strong => 0..3,
-            HostStrength::Middling => 3..8,
+            HostStrength::Medium => 3..8,
             HostStrength::Weak => 12..17,
         })
     }
--- a/crates/emulator/src/host/writes.rs
+++ b/crates/emulator/src/host/writes.rs
@@ -38,7 +38,7 @@
         if self.control.writing.is_some() || !holding {
             return;
         }
-        let batch = match self.control.waiting_batch.take() {
+        let batch = match self.control.pending_batch.take() {
             Some(batch) => batch,
             None if self.control.lease.wants_renewal(at / MS) => CommitBatch::default(),
             None => return,
