--- a/crates/jobs/tests/support/emulator/mod.rs
+++ b/crates/jobs/tests/support/emulator/mod.rs
@@ -248,7 +248,7 @@
         }
         let room = self.sound_room();
         self.oracle
-            .look_for_away(self.now, AWAY_CHECK_INTERVAL_MS, &room);
+            .check_away_tasks(self.now, AWAY_CHECK_INTERVAL_MS, &room);
     }
 
     fn inject_faults(&mut self) {
